--- a/decide/spread/closing_test.go
+++ b/decide/spread/closing_test.go
@@ -12,8 +12,8 @@
 	"github.com/grademill/grademill/decide/spread"
 )
 
-// tight is a model of which a hall of small cards holds little more than one copy.
-var tight = &catalog.Model{
+// tightModel is a model of which a hall of small cards holds little more than one copy.
+var tightModel = &catalog.Model{
 	Layers: 80, LayerSize: 1750, TokenSize: 0.59, Prompt: 775, Answer: 220, Slots: 192,
 	Cards: map[string]catalog.Card{
 		"large": {Memory: 72000, Pace: 2.4, Read: 3.2}, "small": {Memory: 14400, Pace: 5.3, Read: 7.9},
@@ -21,7 +21,7 @@
 	},
 }
 
-// tightHall returns the empty cards of a hall with so many of each kind.
+// tightHall returns the empty cards of a hall with the given number of cards of each kind.
 func tightHall(large, small, slow int) []spread.Card {
 	var cards []spread.Card
 	add := func(kind string, n int) {
@@ -35,44 +35,44 @@
 	return cards
 }
 
-// rests checks that further plans keep all layers held, move one card at a time, and come
-// to an end.
-func rests(t *testing.T, cards []spread.Card) {
+// requirePlansConverge checks that further plans keep all layers covered, move one card at a
+// time, and come to an end.
+func requirePlansConverge(t *testing.T, cards []spread.Card) {
 	t.Helper()
 	for range cards {
-		moves := spread.Planner{}.Plan(tight, cards)
+		moves := spread.Planner{}.Plan(tightModel, cards)
 		if len(moves) == 0 {
 			return
 		}
 		require.Len(t, moves, 1)
-		carry(cards, moves)
+		applyMoves(cards, moves)
 		require.NotContains(t, copies(cards, "h"), 0)
 	}
-	require.Fail(t, "plans go on for ever")
+	require.Fail(t, "plans do not converge")
 }
 
-// Whichever card of a hall goes, one plan has the others hold all layers again, also
-// where no card is to spare and none beside the hole has enough memory: then all of them
-// shift a little.
-func TestHolesAreClosedByShifting(t *testing.T) {
+// Whichever card of a hall is lost, one plan has the others cover all layers again. Where no
+// card is redundant and none beside the missing layers has enough memory, all cards shift a
+// little.
+func TestUncoveredLayersAreCoveredByShifting(t *testing.T) {
 	for _, shape := range [][3]int{{2, 4, 4}, {1, 6, 6}, {1, 10, 4}, {0, 9, 8}} {
 		for lost := range tightHall(shape[0], shape[1], shape[2]) {
 			cards := tightHall(shape[0], shape[1], shape[2])
-			carry(cards, spread.Planner{}.Plan(tight, cards))
+			applyMoves(cards, spread.Planner{}.Plan(tightModel, cards))
 			require.NotContains(t, copies(cards, "h"), 0)
-			left := slices.Delete(slices.Clone(cards), lost, lost+1)
-			carry(left, spread.Planner{}.Plan(tight, left))
-			require.NotContains(t, copies(left, "h"), 0, "%v without %s", shape, cards[lost].ID)
-			for _, c := range left {
-				require.Positive(t, tight.Room(tight.Cards[c.Kind], c.Holds.Len()), c.ID)
+			remaining := slices.Delete(slices.Clone(cards), lost, lost+1)
+			applyMoves(remaining, spread.Planner{}.Plan(tightModel, remaining))
+			require.NotContains(t, copies(remaining, "h"), 0, "%v without %s", shape, cards[lost].ID)
+			for _, c := range remaining {
+				require.Positive(t, tightModel.Room(tightModel.Cards[c.Kind], c.Holds.Len()), c.ID)
 			}
-			rests(t, left)
+			requirePlansConverge(t, remaining)
 		}
 	}
 }
 
-// No card is given new layers while those that it holds close the place already.
-func TestClosingLoadsNoMoreThanItMust(t *testing.T) {
+// Cards load no new layers where those already held suffice to cover the missing ones.
+func TestCoveringLoadsNoMoreLayersThanNeeded(t *testing.T) {
 	cards := []spread.Card{
 		{ID: "a", Hall: "h", Kind: "large", Holds: layer.Range{First: 0, End: 24}},
 		{ID: "b", Hall: "h", Kind: "large", Holds: layer.Range{First: 24, End: 48}},
@@ -80,40 +80,40 @@
 		{ID: "d", Hall: "h", Kind: "large", Holds: layer.Range{First: 56, End: 80}},
 		{ID: "e", Hall: "h", Kind: "slow", Holds: layer.Range{First: 56, End: 63}},
 	}
-	moves := spread.Planner{}.Plan(tight, cards)
+	moves := spread.Planner{}.Plan(tightModel, cards)
 	require.Equal(t, []spread.Move{{ID: "e", Layers: layer.Range{First: 48, End: 52}}}, moves)
 }
 
-// A fast card that comes back while a part of its layers is still missing takes all of
-// them over from the slow cards that stood in for it, not the missing ones alone.
-func TestFastCardTakesOverFromItsStandIns(t *testing.T) {
+// A fast card may return while only a part of its layers has been taken over by slow cards. It
+// must take all its layers back, not only those still missing.
+func TestReturningFastCardReplacesSlowCards(t *testing.T) {
 	cards := tightHall(1, 6, 6)
-	carry(cards, spread.Planner{}.Plan(tight, cards))
-	was := cards[0].Holds
+	applyMoves(cards, spread.Planner{}.Plan(tightModel, cards))
+	original := cards[0].Holds
 	require.Equal(t, "large-0", cards[0].ID)
-	left := slices.Clone(cards[1:])
+	remaining := slices.Clone(cards[1:])
 	slow := 0
-	for i := range left { // the last ones are slow and to spare
-		if left[i].Kind == "slow" && slow < 3 {
-			left[i].Holds = layer.Range{First: 7 * slow, End: 7*slow + 7}
+	for i := range remaining { // the last cards are slow and redundant
+		if remaining[i].Kind == "slow" && slow < 3 {
+			remaining[i].Holds = layer.Range{First: 7 * slow, End: 7*slow + 7}
 			slow++
 		}
 	}
-	back := append(left, spread.Card{ID: "back", Hall: "h", Kind: "large"})
-	for _, m := range (spread.Planner{}).Plan(tight, back) {
+	withReturned := append(remaining, spread.Card{ID: "back", Hall: "h", Kind: "large"})
+	for _, m := range (spread.Planner{}).Plan(tightModel, withReturned) {
 		if m.ID == "back" {
-			require.Equal(t, was.Len(), m.Layers.Len())
+			require.Equal(t, original.Len(), m.Layers.Len())
 			require.LessOrEqual(t, m.Layers.First, 7)
 			return
 		}
 	}
-	require.Fail(t, "the card got no layers")
+	require.Fail(t, "the returned card got no layers")
 }
 
-// What was crowded to close a hole is eased again, one card at a time, once the missing
-// card is back: no card stays fuller than its share where another holds its ends, and
-// the place never loses a layer.
-func TestCrowdedPlaceIsEased(t *testing.T) {
+// Cards filled beyond the planned share to cover missing layers shrink again, one at a time,
+// once the missing card has returned. No card stays overfilled where another one holds the
+// layers at its ends, and no layer loses its last holder.
+func TestOverfilledCardsAreTrimmed(t *testing.T) {
 	cards := []spread.Card{
 		{ID: "a", Hall: "h", Kind: "large", Holds: layer.Range{First: 0, End: 27}},
 		{ID: "b", Hall: "h", Kind: "large", Holds: layer.Range{First: 27, End: 62}},
@@ -121,24 +121,25 @@
 		{ID: "d", Hall: "h", Kind: "small", Holds: layer.Range{First: 59, End: 64}},
 		{ID: "e", Hall: "h", Kind: "large", Holds: layer.Range{First: 60, End: 80}},
 	}
-	moves := spread.Planner{}.Plan(tight, cards)
+	moves := spread.Planner{}.Plan(tightModel, cards)
 	require.Equal(t, []spread.Move{{ID: "b", Layers: layer.Range{First: 27, End: 54}}}, moves)
-	carry(cards, moves)
-	rests(t, cards)
+	applyMoves(cards, moves)
+	requirePlansConverge(t, cards)
 }
 
-// Nothing is eased on the word of a card that is still loading.
-func TestNothingIsEasedWhileACardLoads(t *testing.T) {
+// A card that is still loading does not count as a holder that lets another card give up
+// layers.
+func TestNoRebalancingWhileACardLoads(t *testing.T) {
 	cards := []spread.Card{
 		{ID: "a", Hall: "h", Kind: "large", Holds: layer.Range{First: 0, End: 35}},
 		{ID: "b", Hall: "h", Kind: "large", Holds: layer.Range{First: 27, End: 54}, Settled: true},
 		{ID: "c", Hall: "h", Kind: "large", Holds: layer.Range{First: 54, End: 80}},
 	}
-	require.Empty(t, spread.Planner{}.Plan(tight, cards))
+	require.Empty(t, spread.Planner{}.Plan(tightModel, cards))
 }
 
-// A card that is in use is not moved only because it would be worth more elsewhere.
-func TestCardsInUseAreNotEased(t *testing.T) {
+// A card in use is not moved only because its value would be higher elsewhere.
+func TestCardsInUseAreNotRebalanced(t *testing.T) {
 	for _, used := range []bool{false, true} {
 		cards := []spread.Card{
 			{ID: "a", Hall: "h", Kind: "large", Holds: layer.Range{First: 0, End: 27}},
@@ -151,6 +152,6 @@
 			{ID: "d", Hall: "h", Kind: "slow", Holds: layer.Range{First: 0, End: 8}, InUse: true},
 			{ID: "e", Hall: "h", Kind: "slow", Holds: layer.Range{First: 0, End: 8}, InUse: used},
 		}
-		require.Equal(t, used, len(spread.Planner{}.Plan(tight, cards)) == 0)
+		require.Equal(t, used, len(spread.Planner{}.Plan(tightModel, cards)) == 0)
 	}
 }
--- a/decide/spread/ease.go
+++ b/decide/spread/ease.go
@@ -6,43 +6,43 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// easeGain is by how much more a card must be worth elsewhere to be moved there: half of
-// the share of a card in a place of a dozen, so that plans come to rest.
-const easeGain = 0.05
+// minMoveGain is the smallest rise in value that justifies moving a card: half the share of one
+// card in a group of a dozen. The threshold lets successive plans converge.
+const minMoveGain = 0.05
 
-// ease returns one move that makes a place without holes better while it serves: a card
-// that holds more than its share since it closed a hole gives up what others hold beside
-// it, and one that nobody uses, whose layers others hold, goes where it is worth more. While any card
-// of the place is still loading nothing is moved.
-func (f *floor) ease() (int, layer.Range, bool) {
-	if slices.ContainsFunc(f.cards, func(c Card) bool { return c.Settled }) {
+// rebalance returns one move that improves a group without uncovered layers while it serves. A
+// card filled beyond its planned share gives up layers at its ends that others hold as well; an
+// unused card whose layers others hold moves to where its value is higher. Nothing moves while
+// any card of the group is still loading.
+func (cov *coverage) rebalance() (int, layer.Range, bool) {
+	if slices.ContainsFunc(cov.cards, func(c Card) bool { return c.Settled }) {
 		return 0, layer.Range{}, false
 	}
-	for i, c := range f.cards {
+	for i, c := range cov.cards {
 		if c.Holds.Empty() {
 			continue
 		}
-		if r := f.trim(c); r != c.Holds {
+		if r := cov.trim(c); r != c.Holds {
 			return i, r, true
 		}
 	}
-	for _, i := range f.spares() {
-		if r, ok := f.better(i); ok && !f.cards[i].InUse {
+	for _, i := range cov.redundant() {
+		if r, ok := cov.betterRange(i); ok && !cov.cards[i].InUse {
 			return i, r, true
 		}
 	}
 	return 0, layer.Range{}, false
 }
 
-// trim returns the range of a card without what others hold at its ends, as far as it
-// holds more than its share.
-func (f *floor) trim(c Card) layer.Range {
-	r, size := c.Holds, f.planner.size(f.model, c)
-	for r.Len() > size {
+// trim returns the range of a card without layers at its ends that others hold, as far as the
+// range exceeds the planned fill.
+func (cov *coverage) trim(c Card) layer.Range {
+	r, targetLayers := c.Holds, cov.planner.targetLayers(cov.model, c)
+	for r.Len() > targetLayers {
 		switch {
-		case f.copies[r.First] > 1:
+		case cov.copies[r.First] > 1:
 			r.First++
-		case f.copies[r.End-1] > 1:
+		case cov.copies[r.End-1] > 1:
 			r.End--
 		default:
 			return r
@@ -51,13 +51,14 @@
 	return r
 }
 
-// better returns the range in which a card that can be spared is worth more by easeGain.
-func (f *floor) better(i int) (layer.Range, bool) {
-	c := f.cards[i]
-	without := *f
-	without.cards = append([]Card(nil), f.cards...)
+// betterRange returns the best range for a redundant card, and whether its value there exceeds
+// the present one by more than minMoveGain.
+func (cov *coverage) betterRange(i int) (layer.Range, bool) {
+	c := cov.cards[i]
+	without := *cov
+	without.cards = append([]Card(nil), cov.cards...)
 	without.cards[i].Holds = layer.Range{}
-	without.measure()
+	without.recompute()
 	r := without.rangeFor(c)
-	return r, without.worth(c, r) > without.worth(c, c.Holds)+easeGain
+	return r, without.value(c, r) > without.value(c, c.Holds)+minMoveGain
 }
--- a/decide/spread/floor.go
+++ b/decide/spread/floor.go
@@ -8,139 +8,144 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// holderWeight is how much less a layer needs another holder for each that it has:
-// more than the supply of cards differs.
-const holderWeight = 8
+// holderDiscount is the factor by which each holder of a layer lowers the value of another one.
+// It exceeds the differences in supply between layers, so the number of holders decides first.
+const holderDiscount = 8
 
-// slotsWeight is how much more than a layer the slots of first endpoints count at most:
-// little beside holderWeight, so that no layer has fewer holders than the first for them.
-const slotsWeight = 2
+// maxSlotScarcity bounds the scarcity of request slots at the first layer. It is far below
+// holderDiscount, so that no layer goes with fewer holders than the first for the sake of
+// slots.
+const maxSlotScarcity = 2
 
-// floor is what holds each layer of a place.
-type floor struct {
+// coverage is the state of a group of cards: how many of them hold each layer, and their
+// capacity.
+type coverage struct {
 	planner Planner
 	model   *catalog.Model
 	cards   []Card
-	// copies are the numbers of holders.
+	// copies is the number of holders of each layer.
 	copies []int
-	// supply is what the holders offer: the tokens that fit beside their layers, no
-	// more than if they held their fill.
+	// supply is the number of tokens for which the holders of each layer have room, counting no
+	// card as emptier than the planned fill.
 	supply []float64
-	// fastest is the pace of the fastest holder, 0 for none.
+	// fastest is the lowest catalog.Card Pace among the holders of each layer, 0 without
+	// holders.
 	fastest []float64
-	// alone is the length of the range of the only holder; 0 where there are others.
-	alone []int
+	// soleHolderLen is the length of the range of a layer's only holder, 0 unless there is
+	// exactly one.
+	soleHolderLen []int
 }
 
-// newFloor returns the floor of cards.
-func newFloor(p Planner, m *catalog.Model, cards []Card) *floor {
-	f := &floor{planner: p, model: m, cards: cards}
-	f.measure()
-	return f
+// newCoverage returns the coverage of a model by cards.
+func newCoverage(p Planner, m *catalog.Model, cards []Card) *coverage {
+	cov := &coverage{planner: p, model: m, cards: cards}
+	cov.recompute()
+	return cov
 }
 
-// measure works out what the cards hold.
-func (f *floor) measure() {
-	n := f.model.Layers
-	f.copies, f.alone = make([]int, n), make([]int, n)
-	f.supply, f.fastest = make([]float64, n), make([]float64, n)
-	for _, c := range f.cards {
-		offer, pace := f.offer(c), f.model.Cards[c.Kind].Pace
+// recompute derives the figures of each layer from the ranges of the cards.
+func (cov *coverage) recompute() {
+	n := cov.model.Layers
+	cov.copies, cov.soleHolderLen = make([]int, n), make([]int, n)
+	cov.supply, cov.fastest = make([]float64, n), make([]float64, n)
+	for _, c := range cov.cards {
+		tokenCapacity, pace := cov.tokenCapacity(c), cov.model.Cards[c.Kind].Pace
 		for l := max(c.Holds.First, 0); l < min(c.Holds.End, n); l++ {
-			f.copies[l]++
-			f.supply[l] += offer
-			f.alone[l] = 0
-			if f.copies[l] == 1 {
-				f.alone[l] = c.Holds.Len()
+			cov.copies[l]++
+			cov.supply[l] += tokenCapacity
+			cov.soleHolderLen[l] = 0
+			if cov.copies[l] == 1 {
+				cov.soleHolderLen[l] = c.Holds.Len()
 			}
-			if f.fastest[l] == 0 || pace < f.fastest[l] {
-				f.fastest[l] = pace
+			if cov.fastest[l] == 0 || pace < cov.fastest[l] {
+				cov.fastest[l] = pace
 			}
 		}
 	}
 }
 
-// offer returns the tokens for which a card has room.
-func (f *floor) offer(c Card) float64 {
-	return float64(max(f.model.Room(f.model.Cards[c.Kind], max(c.Holds.Len(), f.planner.size(f.model, c))), 0))
+// tokenCapacity returns the number of tokens for which a card has room.
+func (cov *coverage) tokenCapacity(c Card) float64 {
+	return float64(max(cov.model.Room(cov.model.Cards[c.Kind], max(c.Holds.Len(), cov.planner.targetLayers(cov.model, c))), 0))
 }
 
-// entry returns the tokens that the slots of the holders of the first layer let in.
-func (f *floor) entry() float64 {
-	return float64(f.copies[0] * f.model.Slots * (f.model.Prompt + f.model.Answer))
+// admittedTokens returns the number of tokens that the request slots of the first layer's
+// holders admit.
+func (cov *coverage) admittedTokens() float64 {
+	return float64(cov.copies[0] * cov.model.Slots * (cov.model.Prompt + cov.model.Answer))
 }
 
-// move gives a card other layers.
-func (f *floor) move(i int, r layer.Range) {
-	f.cards[i].Holds, f.cards[i].Settled = r, true
-	f.measure()
+// assign gives a card another range and recomputes the coverage.
+func (cov *coverage) assign(i int, r layer.Range) {
+	cov.cards[i].Holds, cov.cards[i].Settled = r, true
+	cov.recompute()
 }
 
-// hole returns the first run of layers that no card holds, empty for none.
-func (f *floor) hole() layer.Range {
-	first := slices.Index(f.copies, 0)
+// uncovered returns the first run of layers without a holder, or an empty range.
+func (cov *coverage) uncovered() layer.Range {
+	first := slices.Index(cov.copies, 0)
 	if first < 0 {
 		return layer.Range{}
 	}
 	end := first
-	for end < len(f.copies) && f.copies[end] == 0 {
+	for end < len(cov.copies) && cov.copies[end] == 0 {
 		end++
 	}
 	return layer.Range{First: first, End: end}
 }
 
-// rangeFor returns the range for an empty card. Holes come first: a card takes what is
-// missing and, as far as it is faster than those beside the hole, their layers; the memory
-// that a small hole leaves holds requests. Where nothing is missing it is the range in
-// which the card is worth most.
-func (f *floor) rangeFor(c Card) layer.Range {
-	size := f.planner.size(f.model, c)
-	if hole := f.hole(); !hole.Empty() {
-		return f.over(c, layer.Range{First: hole.First, End: min(hole.End, hole.First+size)}, size)
+// rangeFor returns the range for an empty card. Uncovered layers come first: the card takes
+// them and, where it is faster than the holders of the layers beside them, those layers too.
+// When the gap is small, the card's remaining memory is left to requests. Without uncovered
+// layers, the card gets the range in which its value is highest.
+func (cov *coverage) rangeFor(c Card) layer.Range {
+	targetLayers := cov.planner.targetLayers(cov.model, c)
+	if uncovered := cov.uncovered(); !uncovered.Empty() {
+		return cov.extend(c, layer.Range{First: uncovered.First, End: min(uncovered.End, uncovered.First+targetLayers)}, targetLayers)
 	}
 	best, at := 0.0, 0
-	for first := f.model.Layers - size; first >= 0; first-- {
-		if w := f.worth(c, layer.Range{First: first, End: first + size}); w > best*(1+1e-9) {
+	for first := cov.model.Layers - targetLayers; first >= 0; first-- {
+		if w := cov.value(c, layer.Range{First: first, End: first + targetLayers}); w > best*(1+1e-9) {
 			best, at = w, first
 		}
 	}
-	return layer.Range{First: at, End: at + size}
+	return layer.Range{First: at, End: at + targetLayers}
 }
 
-// worth returns what another holder of a range is worth: the share of the cards whose
-// loss would not leave a hole any more, weighed by how scarce what they offer is, and the
-// share of a token's time that a faster card saves. The slots of first endpoints count as
-// a layer before the first. Without them three halls of 59 cards had three first endpoints
-// and served 83 requests a second in time where 272 came; with them 272.
-func (f *floor) worth(c Card, r layer.Range) float64 {
-	pace := f.model.Cards[c.Kind].Pace
+// value returns the benefit of another card that holds a range. It is the sum of two shares:
+// the cards whose loss would no longer uncover layers, weighted by the scarcity of their
+// capacity, and the time of a token that a faster card saves. The slots of the first layer's
+// holders count as one more layer: without this, three halls of 59 cards got three first
+// endpoints and served 83 instead of all 272 requests per second in time.
+func (cov *coverage) value(c Card, r layer.Range) float64 {
+	pace := cov.model.Cards[c.Kind].Pace
 	supply, time := 0.0, 0.0
-	for l := range f.copies {
-		supply += f.supply[l] / float64(max(f.copies[l], 1)) / float64(len(f.copies))
-		time += f.fastest[l]
+	for l := range cov.copies {
+		supply += cov.supply[l] / float64(max(cov.copies[l], 1)) / float64(len(cov.copies))
+		time += cov.fastest[l]
 	}
-	spared, saved := 0.0, 0.0
+	resilience, speedup := 0.0, 0.0
 	for l := r.First; l < r.End; l++ {
-		scarce := math.Pow(holderWeight, 1-float64(f.copies[l])) * supply / (f.supply[l] + 1)
-		if f.alone[l] > 0 {
-			scarce /= float64(f.alone[l])
+		scarcity := math.Pow(holderDiscount, 1-float64(cov.copies[l])) * supply / (cov.supply[l] + 1)
+		if cov.soleHolderLen[l] > 0 {
+			scarcity /= float64(cov.soleHolderLen[l])
 		} else {
-			scarce /= float64(r.Len())
+			scarcity /= float64(r.Len())
 		}
-		spared += scarce
-		saved += max(f.fastest[l]-pace, 0)
+		resilience += scarcity
+		speedup += max(cov.fastest[l]-pace, 0)
 	}
-	if r.First == 0 && f.model.Slots > 0 {
-		spared += math.Pow(holderWeight, 1-float64(f.copies[0])) * min(supply/(f.entry()+1), slotsWeight)
+	if r.First == 0 && cov.model.Slots > 0 {
+		resilience += math.Pow(holderDiscount, 1-float64(cov.copies[0])) * min(supply/(cov.admittedTokens()+1), maxSlotScarcity)
 	}
-	return spared/float64(len(f.cards)) + saved/time
+	return resilience/float64(len(cov.cards)) + speedup/time
 }
 
-// over returns a range extended over the layers beside it that only slower cards hold,
-// up to a size: a fast card that comes back takes its layers over from its stand-ins.
-func (f *floor) over(c Card, r layer.Range, size int) layer.Range {
+// extend returns a range extended, up to a size, over adjacent layers that only slower cards
+// hold, so that a fast card that returns replaces the slow cards that took its layers over.
+func (cov *coverage) extend(c Card, r layer.Range, size int) layer.Range {
 	slower := func(l int) bool {
-		return l >= 0 && l < f.model.Layers && f.fastest[l] > f.model.Cards[c.Kind].Pace
+		return l >= 0 && l < cov.model.Layers && cov.fastest[l] > cov.model.Cards[c.Kind].Pace
 	}
 	for r.Len() < size {
 		switch {
--- a/decide/spread/place.go
+++ b/decide/spread/place.go
@@ -8,35 +8,35 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// The parts of a card's memory that its layers may take to close a hole are tried from
-// the planner's own on, in steps of closeStep, up to closeMost: room for a few requests
-// is worth more than a place without a chain. Each step counts as closeCost layers to
-// load, for the room that it takes from requests.
+// Covering missing layers may fill cards beyond the planner's Fill, in steps of coverFillStep
+// up to maxCoverFill: room for a few requests is worth more than a group without a complete
+// chain. Each step costs as much as loading fillStepCost layers, for the room that it takes
+// from requests.
 const (
-	closeStep = 0.04
-	closeMost = 0.88
-	closeCost = 12
+	coverFillStep = 0.04
+	maxCoverFill  = 0.88
+	fillStepCost  = 12
 )
 
-// place plans the moves of one place.
-func (p Planner) place(m *catalog.Model, cards []Card) []Move {
-	f := newFloor(p, m, slices.Clone(cards))
+// planGroup plans the moves of one group of cards.
+func (p Planner) planGroup(m *catalog.Model, cards []Card) []Move {
+	cov := newCoverage(p, m, slices.Clone(cards))
 	moves := make(map[int]layer.Range)
-	move := func(i int, r layer.Range) {
-		f.move(i, r)
+	assign := func(i int, r layer.Range) {
+		cov.assign(i, r)
 		moves[i] = r
 	}
-	for i, c := range f.cards {
-		if c.Holds.Empty() && !c.Settled && p.size(m, c) > 0 {
-			move(i, f.rangeFor(c))
+	for i, c := range cov.cards {
+		if c.Holds.Empty() && !c.Settled && p.targetLayers(m, c) > 0 {
+			assign(i, cov.rangeFor(c))
 		}
 	}
-	if !f.hole().Empty() {
-		for i, r := range f.close() {
-			move(i, r)
+	if !cov.uncovered().Empty() {
+		for i, r := range cov.close() {
+			assign(i, r)
 		}
-	} else if i, r, ok := f.ease(); ok && len(moves) == 0 {
-		move(i, r)
+	} else if i, r, ok := cov.rebalance(); ok && len(moves) == 0 {
+		assign(i, r)
 	}
 	list := make([]Move, 0, len(moves))
 	for i, r := range moves {
@@ -45,35 +45,35 @@
 	return list
 }
 
-// close returns the new ranges, by card, that close the holes at the least cost; nil when
-// the cards cannot hold all layers.
-func (f *floor) close() map[int]layer.Range {
+// close returns the new ranges, by card, that cover all layers at the least cost, or nil
+// when the cards cannot hold all layers.
+func (cov *coverage) close() map[int]layer.Range {
 	var best map[int]layer.Range
 	least := math.Inf(1)
 	for step := 0; ; step++ {
-		fill := f.planner.Fill + float64(step)*closeStep
-		if fill > closeMost {
+		fill := cov.planner.Fill + float64(step)*coverFillStep
+		if fill > maxCoverFill {
 			return best
 		}
-		moves, cost := f.closing(Planner{Fill: fill})
-		if cost += float64(step * closeCost); moves != nil && cost < least {
+		moves, cost := cov.coverWith(Planner{Fill: fill})
+		if cost += float64(step * fillStepCost); moves != nil && cost < least {
 			best, least = moves, cost
 		}
 	}
 }
 
-// spares returns the cards that can give up all their layers, since others hold them
-// already, the slowest first.
-func (f *floor) spares() []int {
-	copies := slices.Clone(f.copies)
-	for _, c := range f.cards {
+// redundant returns the cards, the slowest first, that can give up all their layers together
+// because others hold them.
+func (cov *coverage) redundant() []int {
+	copies := slices.Clone(cov.copies)
+	for _, c := range cov.cards {
 		for l := max(c.Holds.First, 0); c.Settled && l < min(c.Holds.End, len(copies)); l++ {
-			copies[l]-- // it may be loading
+			copies[l]-- // the card may still be loading
 		}
 	}
 	var list []int
-	for i := len(f.cards) - 1; i >= 0; i-- {
-		c := f.cards[i]
+	for i := len(cov.cards) - 1; i >= 0; i-- {
+		c := cov.cards[i]
 		if c.Settled || c.Holds.Empty() || slices.Min(copies[c.Holds.First:c.Holds.End]) < 2 {
 			continue
 		}
@@ -85,33 +85,33 @@
 	return list
 }
 
-// closing returns the new ranges, by card, that have the cards hold all layers again
-// at the least cost, when none holds more than the planner's fill, with that cost; nil
-// when they cannot. The cards keep the order in which they hold the layers, and those that can be
-// spared come in at the hole.
-func (f *floor) closing(p Planner) (map[int]layer.Range, float64) {
-	spares := f.spares()
+// coverWith returns the new ranges, by card, that cover all layers at the least cost when no
+// card exceeds the planner's fill, and that cost. It returns nil when the cards cannot. The
+// cards keep the order of their layers; the redundant ones are inserted at the first uncovered
+// layer.
+func (cov *coverage) coverWith(p Planner) (map[int]layer.Range, float64) {
+	redundant := cov.redundant()
 	var order []int
-	for i, c := range f.cards {
-		if !c.Holds.Empty() && !slices.Contains(spares, i) {
+	for i, c := range cov.cards {
+		if !c.Holds.Empty() && !slices.Contains(redundant, i) {
 			order = append(order, i)
 		}
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return f.cards[a].Holds.First - f.cards[b].Holds.First })
-	hole := f.hole()
+	slices.SortStableFunc(order, func(a, b int) int { return cov.cards[a].Holds.First - cov.cards[b].Holds.First })
+	uncovered := cov.uncovered()
 	at := 0
-	for at < len(order) && f.cards[order[at]].Holds.First < hole.First {
+	for at < len(order) && cov.cards[order[at]].Holds.First < uncovered.First {
 		at++
 	}
-	order = slices.Insert(order, at, spares...)
-	t := tiling{layers: f.model.Layers}
+	order = slices.Insert(order, at, redundant...)
+	t := tiling{layers: cov.model.Layers}
 	for _, i := range order {
-		c := f.cards[i]
-		most := p.size(f.model, c)
+		c := cov.cards[i]
+		maxLayers := p.targetLayers(cov.model, c)
 		if c.Settled {
-			most = 0
+			maxLayers = 0
 		}
-		t.tiles = append(t.tiles, tile{holds: c.Holds, most: most})
+		t.tiles = append(t.tiles, tile{holds: c.Holds, maxLayers: maxLayers})
 	}
 	ranges, cost := t.solve()
 	if ranges == nil {
@@ -119,7 +119,7 @@
 	}
 	moves := make(map[int]layer.Range)
 	for k, i := range order {
-		if r := ranges[k]; !r.Empty() && (r.First < f.cards[i].Holds.First || r.End > f.cards[i].Holds.End) {
+		if r := ranges[k]; !r.Empty() && (r.First < cov.cards[i].Holds.First || r.End > cov.cards[i].Holds.End) {
 			moves[i] = r
 		}
 	}
--- a/decide/spread/spread.go
+++ b/decide/spread/spread.go
@@ -1,5 +1,5 @@
-// Package spread decides which layers of a model the cards of each data hall
-// hold.
+// Package spread plans which layers of a model each accelerator card holds, so that every data
+// hall can serve chains of its own. Planner.Plan returns the cards to load with other layers.
 package spread
 
 import (
@@ -11,20 +11,21 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// Card is an accelerator that may hold layers.
+// Card is an accelerator card that can hold layers of a model.
 type Card struct {
 	ID, Hall string
-	// Kind is its kind in the model's cards.
+	// Kind is the key of its catalog.Card in the model's Cards.
 	Kind string
-	// Holds are the layers that it holds, or has been ordered to hold.
+	// Holds is the range that the card holds or has been ordered to load.
 	Holds layer.Range
-	// Settled is set when it must not get another range now.
+	// Settled is set while the card must not be given another range.
 	Settled bool
-	// InUse is set while requests pass through it: it is moved only to close a hole.
+	// InUse is set while requests run on the card. Such a card moves only to cover layers that
+	// no card holds.
 	InUse bool
 }
 
-// Move is a decision to have a card hold layers.
+// Move is a decision to load a range of layers onto a card.
 type Move struct {
 	ID     string
 	Layers layer.Range
@@ -32,53 +33,52 @@
 
 // Planner plans moves. The zero Planner is ready to use.
 type Planner struct {
-	// Fill is the part of a card's memory that its layers take, 0 for
-	// DefaultFill; the rest holds requests.
+	// Fill is the fraction of a card's memory that layers take, 0 for DefaultFill. The rest
+	// holds requests.
 	Fill float64
 }
 
-// DefaultFill gives each hall of the users' sites one copy of a model and a third of a
-// second. What a chain serves grows with the room of its cards, and what it loses with
-// the cards whose loss leaves a hole. Mean worth of the days with trouble, 25 of the site
-// with the smallest cards and 10 of each of two others: 0.604, 0.784 and 0.789 with 0.6,
-// 0.619, 0.784 and 0.782 with 0.66; with an earlier planner 0.574 and 0.555 of the first
-// with 0.73 and 0.78.
+// DefaultFill gives each hall one copy of a model and a third of a second one. A lower fill
+// leaves more room for requests; a higher one leaves fewer cards whose loss uncovers layers. On
+// days with failures, halls of small cards scored 0.604 with 0.6, 0.619 with 0.66, and with an
+// earlier planner 0.574 with 0.73 and 0.555 with 0.78; two fleets of larger cards scored 0.784
+// and 0.789 with 0.6, and 0.784 and 0.782 with 0.66.
 const DefaultFill = 0.66
 
-// fullest is the part of a card's memory that its layers may take at most.
-const fullest = 0.9
+// maxFill is the largest fraction of a card's memory that layers may take.
+const maxFill = 0.9
 
-// Plan returns the moves that give each hall chains of its own. It is a pure
-// function of what the cards hold. Cards that hold layers keep them, but for those
-// that close a hole. Cards without layers take those that the fewest others hold,
-// the fastest cards first. Halls that cannot hold a copy of the model are planned
-// as one.
+// Plan returns the moves that give each hall chains of its own, sorted by card ID. It is a pure
+// function of its arguments and does not depend on the order of the cards. Empty cards, the
+// fastest first, take the layers that the fewest others hold. Cards that hold layers keep them
+// unless they must cover missing layers or Plan rebalances them. Halls that cannot hold a copy
+// of the model are planned together.
 func (p Planner) Plan(m *catalog.Model, cards []Card) []Move {
 	if p.Fill <= 0 {
 		p.Fill = DefaultFill
 	}
 	var moves []Move
-	for _, list := range places(m, cards) {
-		moves = append(moves, p.place(m, list)...)
+	for _, list := range hallGroups(m, cards) {
+		moves = append(moves, p.planGroup(m, list)...)
 	}
 	slices.SortFunc(moves, func(a, b Move) int { return cmp.Compare(a.ID, b.ID) })
 	return moves
 }
 
-// places returns the cards of each hall, the fastest first. The halls that cannot
-// hold a copy of the model make one place together.
-func places(m *catalog.Model, cards []Card) [][]Card {
+// hallGroups returns the cards of each hall, the fastest first. All halls that cannot hold a
+// copy of the model form one group. Cards with a range outside the model are left out.
+func hallGroups(m *catalog.Model, cards []Card) [][]Card {
 	halls := make(map[string][]Card)
 	for _, c := range cards {
 		if c.Holds.First < 0 || c.Holds.End > m.Layers {
-			continue // it holds another model's layers, or its record is wrong
+			continue // the layers are another model's, or the record is wrong
 		}
 		halls[c.Hall] = append(halls[c.Hall], c)
 	}
 	var list [][]Card
 	var small []Card
 	for _, hall := range halls {
-		if capacity(m, hall) < m.Layers {
+		if maxTotalLayers(m, hall) < m.Layers {
 			small = append(small, hall...)
 			continue
 		}
@@ -87,31 +87,31 @@
 	if len(small) > 0 {
 		list = append(list, small)
 	}
-	for _, place := range list {
-		slices.SortFunc(place, func(a, b Card) int {
+	for _, group := range list {
+		slices.SortFunc(group, func(a, b Card) int {
 			return cmp.Or(cmp.Compare(m.Cards[a.Kind].Pace, m.Cards[b.Kind].Pace), cmp.Compare(a.ID, b.ID))
 		})
 	}
 	return list
 }
 
-// capacity returns the number of layers that cards hold at most.
-func capacity(m *catalog.Model, cards []Card) int {
+// maxTotalLayers returns the largest number of layers that cards can hold together.
+func maxTotalLayers(m *catalog.Model, cards []Card) int {
 	layers := 0
 	for _, c := range cards {
-		layers += most(m, c)
+		layers += maxLayers(m, c)
 	}
 	return layers
 }
 
-// most returns the number of layers that a card holds at most, 0 for a card of an
+// maxLayers returns the largest number of layers that a card can hold, 0 for a card of an
 // unknown kind.
-func most(m *catalog.Model, c Card) int {
-	return min(int(fullest*m.Cards[c.Kind].Memory/m.LayerSize), m.Layers)
+func maxLayers(m *catalog.Model, c Card) int {
+	return min(int(maxFill*m.Cards[c.Kind].Memory/m.LayerSize), m.Layers)
 }
 
-// size returns the number of layers that fill a part of a card's memory, 0 for a
-// card of an unknown kind.
-func (p Planner) size(m *catalog.Model, c Card) int {
-	return min(int(math.Round(p.Fill*m.Cards[c.Kind].Memory/m.LayerSize)), most(m, c))
+// targetLayers returns the number of layers that fill the planned fraction of a card's memory,
+// 0 for a card of an unknown kind.
+func (p Planner) targetLayers(m *catalog.Model, c Card) int {
+	return min(int(math.Round(p.Fill*m.Cards[c.Kind].Memory/m.LayerSize)), maxLayers(m, c))
 }
