--- a/decide/place/planner.go
+++ b/decide/place/planner.go
@@ -1,4 +1,5 @@
-// Package place decides which layers an endpoint without any shall load.
+// Package place plans which layers idle endpoints load for models that cannot serve because
+// layers are missing. Planner.Plan returns the orders.
 package place
 
 import (
@@ -11,41 +12,41 @@
 
 // Model is a model that may need more endpoints.
 type Model struct {
-	// Service is the service that the model is for.
+	// Service is the service that offers the model.
 	Service string
-	// Layers is the number of layers, and PerEngine how many an endpoint
-	// without any can take.
+	// Layers is the number of layers, PerEngine the number that one idle endpoint can load; 0
+	// turns placement off.
 	Layers, PerEngine int
-	// Held are the ranges held now, each with its capacity.
+	// Held are the ranges that endpoints hold now, with their capacities.
 	Held []flow.Edge
 }
 
 // Host is an endpoint without layers.
 type Host struct {
 	Name string
-	// Allowed reports whether the policies let a service's model be loaded here.
+	// Allowed reports whether the policies let the model of a service be loaded here.
 	Allowed func(service string) bool
 }
 
-// Order is one decision.
+// Order tells a host to load a range of layers of a service's model.
 type Order struct {
 	Host    string
 	Service string
 	Layers  layer.Range
-	// Gain is what the bound rises by; 0 where a stage is missing altogether
-	// and more than one order is needed.
+	// Gain is the rise of the model's throughput bound; 0 where the model needs further orders
+	// before it can serve.
 	Gain float64
 }
 
-// Planner plans orders. The zero Planner is ready.
+// Planner plans orders. The zero Planner is ready to use.
 type Planner struct {
-	// Capacity is what a new endpoint is taken to carry; zero means 1.
+	// Capacity is the assumed capacity of a new endpoint; zero means 1.
 	Capacity float64
 }
 
-// Plan returns at most one order for each host. Each goes to the range whose
-// lack costs most: first to models that cannot serve at all, then by what the
-// bound of the model rises by. Models that serve get no more endpoints.
+// Plan returns at most one order for each host. Only models that cannot serve at all get
+// orders. Each host goes to the model and range with the largest gain, on a tie to the service
+// first by name.
 func (p Planner) Plan(models []Model, hosts []Host) []Order {
 	models = slices.Clone(models)
 	slices.SortFunc(models, func(a, b Model) int { return cmp.Compare(a.Service, b.Service) })
@@ -53,7 +54,7 @@
 	for _, host := range hosts {
 		best, at := Order{}, -1
 		for i, m := range models {
-			o, ok := p.missing(m, host)
+			o, ok := p.bestOrder(m, host)
 			if ok && (at < 0 || o.Gain > best.Gain) {
 				best, at = o, i
 			}
@@ -71,8 +72,9 @@
 	return cmp.Or(p.Capacity, 1)
 }
 
-// missing returns the order that helps a model most that cannot serve now.
-func (p Planner) missing(m Model, host Host) (Order, bool) {
+// bestOrder returns the order of the largest gain for a model, and false when the model can
+// serve, placement is off, or a policy forbids the host.
+func (p Planner) bestOrder(m Model, host Host) (Order, bool) {
 	if m.PerEngine <= 0 || !host.Allowed(m.Service) {
 		return Order{}, false
 	}
@@ -82,7 +84,7 @@
 	}
 	best, found := Order{Host: host.Name, Service: m.Service}, false
 	for _, r := range p.ranges(m) {
-		if covered(m.Held, r) {
+		if isHeld(m.Held, r) {
 			continue
 		}
 		gain := network.With(flow.Edge{Layers: r, Capacity: p.capacity()}).Bound()
@@ -93,27 +95,26 @@
 	return best, found
 }
 
-// ranges returns the ranges that an endpoint may be told to load: those held
-// somewhere that fit, and the model cut into even parts.
+// ranges returns the uncovered layers of a model, cut into ranges of at most PerEngine layers.
 func (p Planner) ranges(m Model) []layer.Range {
 	var ranges []layer.Range
-	for _, cut := range m.gaps() {
-		for first := cut.First; first < cut.End; first += m.PerEngine {
-			ranges = append(ranges, layer.Range{First: first, End: min(first+m.PerEngine, cut.End)})
+	for _, gap := range m.uncovered() {
+		for first := gap.First; first < gap.End; first += m.PerEngine {
+			ranges = append(ranges, layer.Range{First: first, End: min(first+m.PerEngine, gap.End)})
 		}
 	}
 	return ranges
 }
 
-// gaps returns the parts of the model that nobody holds.
-func (m Model) gaps() []layer.Range {
+// uncovered returns the runs of layers that no endpoint holds.
+func (m Model) uncovered() []layer.Range {
 	held := make([]bool, m.Layers)
 	for _, e := range m.Held {
 		for l := e.Layers.First; l < min(e.Layers.End, m.Layers); l++ {
 			held[l] = true
 		}
 	}
-	var gaps []layer.Range
+	var uncovered []layer.Range
 	for l := 0; l < m.Layers; l++ {
 		if held[l] {
 			continue
@@ -122,12 +123,12 @@
 		for l < m.Layers && !held[l] {
 			l++
 		}
-		gaps = append(gaps, layer.Range{First: first, End: l})
+		uncovered = append(uncovered, layer.Range{First: first, End: l})
 	}
-	return gaps
+	return uncovered
 }
 
-// covered reports whether r is held as it is.
-func covered(held []flow.Edge, r layer.Range) bool {
+// isHeld reports whether an endpoint holds exactly r.
+func isHeld(held []flow.Edge, r layer.Range) bool {
 	return slices.ContainsFunc(held, func(e flow.Edge) bool { return e.Layers == r })
 }
--- a/decide/place/planner_test.go
+++ b/decide/place/planner_test.go
@@ -31,14 +31,14 @@
 		want   []place.Order
 	}{
 		{"nothing is missing", []place.Model{whole}, two, nil},
-		{"the missing range, once", []place.Model{whole, gap}, two, []place.Order{
+		{"a missing range is ordered once", []place.Model{whole, gap}, two, []place.Order{
 			{Host: "h1", Service: "b", Layers: layer.Range{First: 4, End: 8}, Gain: 1},
 		}},
-		{"a model that nobody holds", []place.Model{{Service: "c", Layers: 6, PerEngine: 4}}, two, []place.Order{
+		{"a model without endpoints", []place.Model{{Service: "c", Layers: 6, PerEngine: 4}}, two, []place.Order{
 			{Host: "h1", Service: "c", Layers: layer.Range{End: 4}},
 			{Host: "h2", Service: "c", Layers: layer.Range{First: 4, End: 6}, Gain: 1},
 		}},
-		{"a policy forbids it", []place.Model{gap}, []place.Host{{Name: "h", Allowed: func(string) bool { return false }}}, nil},
+		{"a policy forbids the host", []place.Model{gap}, []place.Host{{Name: "h", Allowed: func(string) bool { return false }}}, nil},
 		{"placement is off", []place.Model{{Service: "d", Layers: 6}}, two, nil},
 	}
 	for _, c := range cases {
