--- a/decide/route/table.go
+++ b/decide/route/table.go
@@ -1,4 +1,6 @@
-// Package route chooses the chain of endpoints that a request walks.
+// Package route chooses the chain of endpoints that serves a request. A Table is an immutable
+// snapshot of a model's endpoints; Table.Choose returns the cheapest chain among a sample of
+// them.
 package route
 
 import (
@@ -16,31 +18,30 @@
 // MaxStages is the largest number of stages in a chain.
 const MaxStages = 16
 
-// Usage counts the sessions that this process has open at one endpoint, and
-// those that others have. It is safe for concurrent use and outlives the
-// tables that point to it.
+// Usage counts the open sessions of one endpoint and holds its last load report. It is safe for
+// concurrent use and outlives the tables that point to it.
 type Usage struct {
-	// Own is the number of this process's open sessions.
+	// Own is the number of sessions that this process has open.
 	Own atomic.Int64
-	// Others is the rest of what the endpoint last reported.
+	// Others is the number of other processes' sessions, by the endpoint's last report.
 	Others atomic.Int64
-	// StepNanos is the learned time of one step; 0 while not yet learned.
+	// StepNanos is the measured time of one step in nanoseconds; 0 while unknown.
 	StepNanos atomic.Int64
-	// Limit is the number of sessions that the endpoint asks for.
+	// Limit is the number of sessions that the endpoint admits; 0 while unknown.
 	Limit atomic.Int64
-	// Batch is the number of steps that the endpoint takes together.
+	// Batch is the number of steps that the endpoint runs together; 0 while unknown.
 	Batch atomic.Int64
-	// Epoch is the agent's epoch for calls that run at most once.
+	// Epoch is the agent's epoch for calls that run at most once; see package once.
 	Epoch atomic.Uint64
 }
 
-// Report is what an endpoint says of its load. Zero fields are not known.
+// Report is an endpoint's report of its own load. Zero fields are unknown.
 type Report struct {
 	Sessions, Limit, Batch int
 	Step                   time.Duration
 }
 
-// Report takes in a load report.
+// Report records a load report.
 func (u *Usage) Report(r Report) {
 	u.Others.Store(max(0, int64(r.Sessions)-u.Own.Load()))
 	if r.Limit > 0 {
@@ -54,7 +55,7 @@
 	}
 }
 
-// Load returns the open sessions as a share of the limit.
+// Load returns the open sessions as a fraction of the limit.
 func (u *Usage) Load() float64 {
 	limit := cmp.Or(u.Limit.Load(), defaultLimit)
 	return float64(u.Own.Load()+u.Others.Load()) / float64(limit)
@@ -66,51 +67,50 @@
 	Usage    *Usage
 }
 
-// Links is the one-way time between two data halls.
+// Links returns the one-way latency between two data halls.
 type Links func(from, to string) time.Duration
 
-// Table is an immutable snapshot of the endpoints that serve one model. Its
-// methods are safe for concurrent use.
+// Table is an immutable snapshot of the endpoints that serve one model. Its methods are safe
+// for concurrent use.
 type Table struct {
 	// Layers is the number of layers that a chain covers.
 	Layers int
-	// Candidates are sorted by range and hall.
+	// Candidates are sorted by range, hall and name.
 	Candidates []Candidate
 
-	halls  []string
-	cuts   []int
-	groups []group
-	links  []float64 // nanoseconds by from*len(halls)+to
-	home   int
+	halls      []string
+	boundaries []int
+	groups     []group
+	links      []float64 // nanoseconds by from*len(halls)+to
+	home       int
 }
 
 // group is the candidates that hold the same range in the same hall.
 type group struct {
-	from, to   int // indices into cuts
+	from, to   int // indices into boundaries
 	hall       int
 	begin, end int // indices into Candidates
 }
 
-// defaultStep is the step time assumed of endpoints that have not reported.
+// defaultStep is the assumed step time of endpoints that have not reported one.
 const defaultStep = 10 * time.Millisecond
 
-// The limit on sessions and the size of a batch assumed of endpoints that have
-// not reported.
+// The assumed session limit and batch size of endpoints that have not reported them.
 const (
 	defaultLimit = 32
 	defaultBatch = 8
 )
 
-// A choice looks at all candidates of a small group, and at a few of a larger
-// one: choices by many processes on the same stale reports then spread over the
-// group, as with the power of two choices (Mitzenmacher 2001).
+// Choose checks all candidates of a group of at most smallGroup, and sampleSize of a larger
+// one. Many processes that choose by the same stale reports then spread over the group, as with
+// the power of two choices (Mitzenmacher 2001).
 const (
 	smallGroup = 4
-	samples    = 2
+	sampleSize = 2
 )
 
-// New returns a table of the candidates that may take new work, seen from the
-// hall home. Candidates that are leaving or hold no layers are left out.
+// New returns a table for requests that start in the hall home. It leaves out candidates that
+// are leaving, hold no layers, or hold layers outside the model.
 func New(layers int, home string, candidates []Candidate, links Links) *Table {
 	t := &Table{Layers: layers}
 	for _, c := range candidates {
@@ -136,22 +136,22 @@
 	return t
 }
 
-// index fills halls, cuts and groups.
+// index fills halls, boundaries and groups.
 func (t *Table) index(home string) {
 	t.halls = []string{home}
-	t.cuts = []int{0, t.Layers}
+	t.boundaries = []int{0, t.Layers}
 	for _, c := range t.Candidates {
 		t.halls = append(t.halls, c.Endpoint.Hall)
-		t.cuts = append(t.cuts, c.Endpoint.Layers.First, c.Endpoint.Layers.End)
+		t.boundaries = append(t.boundaries, c.Endpoint.Layers.First, c.Endpoint.Layers.End)
 	}
 	slices.Sort(t.halls)
 	t.halls = slices.Compact(t.halls)
-	slices.Sort(t.cuts)
-	t.cuts = slices.Compact(t.cuts)
+	slices.Sort(t.boundaries)
+	t.boundaries = slices.Compact(t.boundaries)
 	for i, c := range t.Candidates {
 		e := c.Endpoint
-		from, _ := slices.BinarySearch(t.cuts, e.Layers.First)
-		to, _ := slices.BinarySearch(t.cuts, e.Layers.End)
+		from, _ := slices.BinarySearch(t.boundaries, e.Layers.First)
+		to, _ := slices.BinarySearch(t.boundaries, e.Layers.End)
 		hall, _ := slices.BinarySearch(t.halls, e.Hall)
 		last := len(t.groups) - 1
 		if last >= 0 && t.groups[last].from == from && t.groups[last].to == to && t.groups[last].hall == hall {
@@ -164,17 +164,17 @@
 
 // Choice is a chosen chain.
 type Choice struct {
-	// Stages are indices into the table's Candidates, the first Len count.
+	// Stages are indices into the table's Candidates; only the first Len are valid.
 	Stages [MaxStages]int32
 	// Len is the number of stages.
 	Len int
 	// Cost is the estimated time of one token.
 	Cost time.Duration
-	// RunnerUp is the candidate that the second best chain found has and this one
-	// has not; -1 when there is none. RunnerUpCost is that chain's cost.
+	// RunnerUp is the candidate that distinguishes the second cheapest chain found from this
+	// one, or -1 for none. RunnerUpCost is the cost of that chain.
 	RunnerUp     int32
 	RunnerUpCost time.Duration
-	// Full is whether a stage is at its limit.
+	// Full is set when a stage is at its limit.
 	Full bool
 }
 
@@ -183,13 +183,13 @@
 	return t.Candidates[c.Stages[i]].Endpoint.Layers
 }
 
-// fullPenalty keeps endpoints at their limit behind all others.
+// fullPenalty is the cost in nanoseconds that ranks endpoints at their limit behind all others.
 const fullPenalty = float64(time.Hour)
 
-// cost returns the estimated time of a step at candidate i, and whether the
-// endpoint is at its limit. It rises without bound towards the limit: under
-// little load the fastest endpoints are taken, and under much all of them, so
-// that the batches of slow ones are full as well.
+// cost returns the estimated time of a step at candidate i in nanoseconds, and whether the
+// endpoint is at its limit. The cost grows without bound towards the limit: low load goes to
+// the fastest endpoints, high load to all of them, so that slow endpoints run full batches as
+// well.
 func (t *Table) cost(i int) (cost float64, full bool) {
 	c := &t.Candidates[i]
 	step := float64(cmp.Or(time.Duration(c.Usage.StepNanos.Load()), c.Endpoint.StepTime, defaultStep))
@@ -201,48 +201,48 @@
 	return step * float64(limit) / float64(limit-open), false
 }
 
-// scratch is the working memory of one choice, by cut and hall.
+// scratch is the working memory of one choice, indexed by state: a boundary and a hall.
 type scratch struct {
-	cost []float64
-	via  []int32 // candidate taken to get here, -1 for none
-	prev []int32 // state before it
-	// swap is the second best candidate in place of via, -1 for none, and more
-	// what it would add to the cost.
-	swap []int32
-	more []float64
+	cost      []float64
+	candidate []int32 // last candidate on the cheapest path, -1 for none
+	prev      []int32 // state before that candidate
+	// runnerUp is the second best candidate in place of the last one, -1 for none, and extra
+	// its additional cost.
+	runnerUp []int32
+	extra    []float64
 }
 
 var scratches = sync.Pool{New: func() any { return new(scratch) }}
 
-// reset makes s ready for n states.
+// reset prepares s for n states.
 func (s *scratch) reset(n int) {
 	if cap(s.cost) < n {
 		s.cost = make([]float64, n)
-		s.via = make([]int32, n)
+		s.candidate = make([]int32, n)
 		s.prev = make([]int32, n)
-		s.swap = make([]int32, n)
-		s.more = make([]float64, n)
+		s.runnerUp = make([]int32, n)
+		s.extra = make([]float64, n)
 	}
-	s.cost, s.via, s.prev, s.swap, s.more = s.cost[:n], s.via[:n], s.prev[:n], s.swap[:n], s.more[:n]
+	s.cost, s.candidate, s.prev, s.runnerUp, s.extra = s.cost[:n], s.candidate[:n], s.prev[:n], s.runnerUp[:n], s.extra[:n]
 	for i := range s.cost {
 		s.cost[i] = math.Inf(1)
-		s.via[i] = -1
-		s.swap[i] = -1
+		s.candidate[i] = -1
+		s.runnerUp[i] = -1
 	}
 }
 
-// Choose returns the cheapest chain among a sample of the candidates. Avoid
-// reports candidates that must not be used; it may be nil. Seed picks the
-// sample. The second result is false when no chain covers all layers.
+// Choose returns the cheapest chain among a sample of the candidates. The avoid function
+// reports candidates to leave out; it may be nil. The seed determines the sample. Choose
+// returns false when no chain of at most MaxStages covers all layers.
 func (t *Table) Choose(seed uint64, avoid func(*fleet.Endpoint) bool) (Choice, bool) {
 	s := scratches.Get().(*scratch)
 	defer scratches.Put(s)
 	halls := len(t.halls)
-	s.reset(len(t.cuts) * halls)
+	s.reset(len(t.boundaries) * halls)
 	s.cost[t.home] = 0
 	for g := range t.groups {
 		grp := &t.groups[g]
-		from, cost := t.enter(s, grp)
+		from, cost := t.cheapestEntry(s, grp)
 		if math.IsInf(cost, 1) {
 			continue
 		}
@@ -251,14 +251,14 @@
 			continue
 		}
 		state := grp.to*halls + grp.hall
-		s.reach(state, from, cost, p)
+		s.record(state, from, cost, p)
 	}
 	return t.trace(s)
 }
 
-// enter returns the cheapest state from which grp can be reached, with the cost
-// up to the group's hall.
-func (t *Table) enter(s *scratch, grp *group) (state int, cost float64) {
+// cheapestEntry returns the cheapest state from which a chain can enter grp, with the cost up
+// to the group's hall.
+func (t *Table) cheapestEntry(s *scratch, grp *group) (state int, cost float64) {
 	halls := len(t.halls)
 	cost = math.Inf(1)
 	for h := range halls {
@@ -270,98 +270,99 @@
 	return state, cost
 }
 
-// reach notes a way to a state through a picked candidate. What is not the
-// cheapest way is kept as its runner-up.
-func (s *scratch) reach(state, from int, cost float64, p pick) {
+// record records a path to a state through a picked candidate. A path that is not the cheapest
+// one may become the runner-up.
+func (s *scratch) record(state, from int, cost float64, p pick) {
 	total := cost + p.cost
 	if total >= s.cost[state] {
-		if more := total - s.cost[state]; s.swap[state] < 0 || more < s.more[state] {
-			s.swap[state], s.more[state] = int32(p.best), more
+		if extra := total - s.cost[state]; s.runnerUp[state] < 0 || extra < s.extra[state] {
+			s.runnerUp[state], s.extra[state] = int32(p.best), extra
 		}
 		return
 	}
-	former, gap := s.via[state], s.cost[state]-total
-	s.cost[state], s.via[state], s.prev[state] = total, int32(p.best), int32(from)
-	s.swap[state], s.more[state] = int32(p.second), p.more
-	if former >= 0 && (p.second < 0 || gap < p.more) {
-		s.swap[state], s.more[state] = former, gap
+	former, gap := s.candidate[state], s.cost[state]-total
+	s.cost[state], s.candidate[state], s.prev[state] = total, int32(p.best), int32(from)
+	s.runnerUp[state], s.extra[state] = int32(p.second), p.extra
+	if former >= 0 && (p.second < 0 || gap < p.extra) {
+		s.runnerUp[state], s.extra[state] = former, gap
 	}
 }
 
-// pick is the outcome of looking at a few candidates of a group.
+// pick is the result of sampling a group.
 type pick struct {
 	best int // -1 for none
 	cost float64
-	// second is the next best, -1 for none, and more what it costs above best.
+	// second is the next best candidate, -1 for none, and extra its additional cost over best.
 	second int
-	more   float64
+	extra  float64
 }
 
-// sample looks at a few candidates of grp.
+// sample picks the cheapest of a few candidates of grp.
 func (t *Table) sample(grp *group, seed uint64, avoid func(*fleet.Endpoint) bool) pick {
 	p := pick{best: -1, second: -1}
 	size := grp.end - grp.begin
 	start := int(seed % uint64(size))
-	looked, enough := 0, samples
+	checked, limit := 0, sampleSize
 	if size <= smallGroup {
-		enough = size
+		limit = size
 	}
-	for i := 0; i < size && looked < enough; i++ {
+	for i := 0; i < size && checked < limit; i++ {
 		at := grp.begin + (start+i)%size
 		if avoid != nil && avoid(&t.Candidates[at].Endpoint) {
 			continue
 		}
-		looked++
+		checked++
 		cost, _ := t.cost(at)
-		p.offer(at, cost)
+		p.consider(at, cost)
 	}
 	return p
 }
 
-// offer takes in one candidate.
-func (p *pick) offer(at int, cost float64) {
+// consider takes one candidate into account.
+func (p *pick) consider(at int, cost float64) {
 	switch {
 	case p.best < 0:
 		p.best, p.cost = at, cost
 	case cost < p.cost:
-		p.second, p.more = p.best, p.cost-cost
+		p.second, p.extra = p.best, p.cost-cost
 		p.best, p.cost = at, cost
-	case p.second < 0 || cost-p.cost < p.more:
-		p.second, p.more = at, cost-p.cost
+	case p.second < 0 || cost-p.cost < p.extra:
+		p.second, p.extra = at, cost-p.cost
 	}
 }
 
-// trace walks back from the cheapest end state.
+// trace returns the chain that leads to the cheapest end state, and false when there is none of
+// at most MaxStages.
 func (t *Table) trace(s *scratch) (Choice, bool) {
-	best, second := t.ends(s)
+	best, second := t.endStates(s)
 	if best < 0 {
 		return Choice{}, false
 	}
 	c := Choice{Cost: time.Duration(s.cost[best]), RunnerUp: -1}
 	if second >= 0 {
-		c.runnerUp(s.via[second], s.cost[second]-s.cost[best])
+		c.considerRunnerUp(s.candidate[second], s.cost[second]-s.cost[best])
 	}
-	for state := best; s.via[state] >= 0; state = int(s.prev[state]) {
+	for state := best; s.candidate[state] >= 0; state = int(s.prev[state]) {
 		if c.Len == MaxStages {
 			return Choice{}, false
 		}
-		c.Stages[c.Len] = s.via[state]
+		c.Stages[c.Len] = s.candidate[state]
 		c.Len++
-		if s.swap[state] >= 0 {
-			c.runnerUp(s.swap[state], s.more[state])
+		if s.runnerUp[state] >= 0 {
+			c.considerRunnerUp(s.runnerUp[state], s.extra[state])
 		}
-		_, full := t.cost(int(s.via[state]))
+		_, full := t.cost(int(s.candidate[state]))
 		c.Full = c.Full || full
 	}
 	slices.Reverse(c.Stages[:c.Len])
 	return c, true
 }
 
-// ends returns the cheapest and the second cheapest end state, -1 for none,
-// with the way home added to their costs.
-func (t *Table) ends(s *scratch) (best, second int) {
+// endStates returns the cheapest and the second cheapest end state, -1 for none. It adds the
+// latency back to the home hall to their costs.
+func (t *Table) endStates(s *scratch) (best, second int) {
 	halls := len(t.halls)
-	last := (len(t.cuts) - 1) * halls
+	last := (len(t.boundaries) - 1) * halls
 	best, second = -1, -1
 	for h := range halls {
 		state := last + h
@@ -379,14 +380,15 @@
 	return best, second
 }
 
-// runnerUp takes in a chain with another candidate that costs more by extra.
-func (c *Choice) runnerUp(candidate int32, extra float64) {
+// considerRunnerUp takes a chain into account that replaces one candidate and costs extra
+// nanoseconds more.
+func (c *Choice) considerRunnerUp(candidate int32, extra float64) {
 	if cost := c.Cost + time.Duration(extra); c.RunnerUp < 0 || cost < c.RunnerUpCost {
 		c.RunnerUp, c.RunnerUpCost = candidate, cost
 	}
 }
 
-// mix scrambles a seed so that neighbours differ in all bits.
+// mix scrambles a seed so that successive seeds differ in all bits (splitmix64).
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/decide/route/table_test.go
+++ b/decide/route/table_test.go
@@ -13,7 +13,7 @@
 	"github.com/grademill/grademill/decide/route"
 )
 
-// candidate returns an endpoint with a learned step time.
+// candidate returns an endpoint with a known step time.
 func candidate(name, hall string, first, end int, step time.Duration) route.Candidate {
 	u := new(route.Usage)
 	u.Report(route.Report{Limit: 8, Batch: 4, Step: step})
@@ -55,7 +55,7 @@
 		{"a link costs more than a slower step", []route.Candidate{fast, last, far}, []string{"fast", "last"}, "far"},
 		{"two stages beat one slow one", []route.Candidate{fast, last, whole}, []string{"fast", "last"}, "whole"},
 		{"one endpoint with all layers", []route.Candidate{fast, whole}, []string{"whole"}, ""},
-		{"none that leaves", []route.Candidate{leaving, slow, last}, []string{"slow", "last"}, ""},
+		{"no leaving endpoint", []route.Candidate{leaving, slow, last}, []string{"slow", "last"}, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -75,10 +75,10 @@
 
 func TestNoChain(t *testing.T) {
 	for name, candidates := range map[string][]route.Candidate{
-		"nobody":             nil,
-		"a stage is missing": {candidate("a", "x", 0, 4, 1)},
-		"cuts do not meet":   {candidate("a", "x", 0, 5, 1), candidate("b", "x", 4, 8, 1)},
-		"beyond the model":   {candidate("a", "x", 0, 9, 1)},
+		"nobody":                 nil,
+		"a stage is missing":     {candidate("a", "x", 0, 4, 1)},
+		"boundaries do not meet": {candidate("a", "x", 0, 5, 1), candidate("b", "x", 4, 8, 1)},
+		"beyond the model":       {candidate("a", "x", 0, 9, 1)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, ok := route.New(8, "x", candidates, links).Choose(1, nil)
@@ -137,8 +137,9 @@
 	require.Greater(t, found, 300)
 }
 
-// fleetOf returns n endpoints of a model in four parts over halls.
-func fleetOf(n, halls int) []route.Candidate {
+// fourStageFleet returns n endpoints, each with a quarter of a model's layers, spread over
+// halls.
+func fourStageFleet(n, halls int) []route.Candidate {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	var candidates []route.Candidate
 	for i := range n {
@@ -161,7 +162,7 @@
 		{"fleet as one model/3800", 3800, 10},
 	} {
 		b.Run(size.name, func(b *testing.B) {
-			table := route.New(32, "hall-0", fleetOf(size.n, size.halls), links)
+			table := route.New(32, "hall-0", fourStageFleet(size.n, size.halls), links)
 			b.ReportAllocs()
 			var seed uint64
 			for b.Loop() {
@@ -177,7 +178,7 @@
 func BenchmarkNew(b *testing.B) {
 	for _, n := range []int{33, 318, 3800} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			candidates := fleetOf(n, 10)
+			candidates := fourStageFleet(n, 10)
 			b.ReportAllocs()
 			for b.Loop() {
 				route.New(32, "hall-0", candidates, links)
