--- a/decide/chain/chain.go
+++ b/decide/chain/chain.go
@@ -1,4 +1,5 @@
-// Package chain finds the way of a request through the layers of a model.
+// Package chain finds the cheapest chain of endpoints that runs all layers of a model.
+// Finder.Find returns it for the endpoints' current costs.
 package chain
 
 import (
@@ -7,7 +8,7 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// Part is a range of layers at one endpoint.
+// Part is a range of layers that one endpoint runs.
 type Part struct {
 	// ID and Address are those of the endpoint.
 	ID, Address string
@@ -17,8 +18,8 @@
 // Chain is a list of parts in the order of their layers.
 type Chain []Part
 
-// Covers reports whether c runs each of a model's layers exactly once and in
-// order, at endpoints that occur once.
+// Covers reports whether c runs each of a model's layers exactly once and in order, with no
+// address occurring twice.
 func (c Chain) Covers(layers int) bool {
 	next := 0
 	for i, p := range c {
@@ -45,7 +46,7 @@
 	return false
 }
 
-// String returns c as the log shows it.
+// String returns the addresses and layer ranges of c, separated by spaces, as in log lines.
 func (c Chain) String() string {
 	var b strings.Builder
 	for i, p := range c {
--- a/decide/chain/finder.go
+++ b/decide/chain/finder.go
@@ -7,96 +7,95 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// MaxParts is the most parts that a chain may have: engines refuse longer ones.
+// MaxParts is the largest number of parts in a chain. Engines refuse longer chains.
 const MaxParts = 32
 
-// usualParts is the room that a new chain has.
-const usualParts = 12
+// initialCapacity is the capacity of a new chain.
+const initialCapacity = 12
 
-// Holder is an endpoint that holds layers, with what it costs to use it now.
+// Holder is an endpoint that holds layers, with the current cost of using it.
 type Holder struct {
 	ID, Address string
-	// Hall is the index of its data hall in Finder.Hops.
+	// Hall is the index of the data hall in Finder.Hops.
 	Hall   int
 	Layers layer.Range
-	// PerLayer is the cost of one of its layers for one token, in seconds.
+	// PerLayer is the cost of one layer for one token, in seconds.
 	PerLayer float64
-	// Fixed is the cost of using it at all, in seconds a token.
+	// Fixed is the cost per token that does not depend on the number of layers, in seconds.
 	Fixed float64
 }
 
-// Finder finds the cheapest chain. It keeps its working memory between calls,
-// and is not safe for concurrent use.
+// Finder finds the cheapest chain. It reuses its working memory between calls and is not safe
+// for concurrent use.
 type Finder struct {
 	// Layers is the number of layers of the model.
 	Layers int
-	// Hops are the costs of handing a token on from one hall to another, in
-	// seconds, by the indexes of the halls.
+	// Hops[i][j] is the cost of passing a token on from hall i to hall j, in seconds.
 	Hops [][]float64
-	// Entry are the costs of beginning in a hall, by its index.
+	// Entry[i] is the cost of starting a chain in hall i, in seconds.
 	Entry []float64
 
-	cuts []int
-	// cost and from hold a row for each cut and a column for each holder: the
-	// least cost of a chain up to the cut that ends at the holder, and the
-	// holder before the last cut.
-	cost []float64
-	from []int16
-	last []int16
+	boundaries []int
+	// cost and from have a row for each boundary and a column for each holder: the least cost
+	// of a chain up to the boundary that ends at the holder, and the holder before that
+	// boundary.
+	cost         []float64
+	from         []int16
+	cheapestEnds []int16
 }
 
-// Find returns the cheapest chain of holders. Where that would come back to a
-// holder, the holder runs the layers between, too: engines take an endpoint only
-// once. Find returns false when no chain covers all layers.
+// Find returns the cheapest chain of holders, and false when none of at most MaxParts covers
+// all layers. Where the cheapest chain would return to a holder, that holder runs the layers
+// between as well, since engines accept an endpoint only once.
 func (f *Finder) Find(holders []Holder) (Chain, bool) {
-	f.cut(holders)
-	if len(f.cuts) < 2 || f.cuts[0] != 0 || f.cuts[len(f.cuts)-1] != f.Layers {
+	f.collectBoundaries(holders)
+	if len(f.boundaries) < 2 || f.boundaries[0] != 0 || f.boundaries[len(f.boundaries)-1] != f.Layers {
 		return nil, false
 	}
-	f.start(holders)
-	for k := 1; k < len(f.cuts); k++ {
+	f.reset(holders)
+	for k := 1; k < len(f.boundaries); k++ {
 		f.advance(k, holders)
 	}
 	return f.trace(holders)
 }
 
-// cut collects the layers at which a chain may change from one holder to the
-// next: the ends of all ranges.
-func (f *Finder) cut(holders []Holder) {
-	f.cuts = f.cuts[:0]
+// collectBoundaries collects the layers at which a chain may change holders: the ends of all
+// ranges.
+func (f *Finder) collectBoundaries(holders []Holder) {
+	f.boundaries = f.boundaries[:0]
 	for _, h := range holders {
 		if h.Layers.Empty() || h.Layers.First < 0 || h.Layers.End > f.Layers {
 			continue
 		}
-		f.cuts = append(f.cuts, h.Layers.First, h.Layers.End)
+		f.boundaries = append(f.boundaries, h.Layers.First, h.Layers.End)
 	}
-	slices.Sort(f.cuts)
-	f.cuts = slices.Compact(f.cuts)
+	slices.Sort(f.boundaries)
+	f.boundaries = slices.Compact(f.boundaries)
 }
 
-// start prepares the tables and the costs before the first layer.
-func (f *Finder) start(holders []Holder) {
-	size := len(f.cuts) * len(holders)
+// reset clears the tables.
+func (f *Finder) reset(holders []Holder) {
+	size := len(f.boundaries) * len(holders)
 	f.cost = slices.Grow(f.cost[:0], size)[:size]
 	f.from = slices.Grow(f.from[:0], size)[:size]
-	f.last = slices.Grow(f.last[:0], len(f.Hops))[:len(f.Hops)]
+	f.cheapestEnds = slices.Grow(f.cheapestEnds[:0], len(f.Hops))[:len(f.Hops)]
 	for i := range f.cost {
 		f.cost[i] = math.Inf(1)
 		f.from[i] = -1
 	}
 }
 
-// advance extends the chains by the layers between the cuts k-1 and k.
+// advance extends the chains by the layers between boundaries k-1 and k.
 func (f *Finder) advance(k int, holders []Holder) {
 	n := len(holders)
-	low, high := f.cuts[k-1], f.cuts[k]
+	low, high := f.boundaries[k-1], f.boundaries[k]
 	before, after := f.cost[(k-1)*n:k*n], f.cost[k*n:(k+1)*n]
-	f.cheapest(before, holders)
+	f.findCheapestEnds(before, holders)
 	for j, h := range holders {
 		if h.Layers.First > low || h.Layers.End < high {
 			continue
 		}
-		cost, from := f.enter(k, j, before, holders)
+		cost, from := f.cheapestEntry(k, j, before, holders)
 		if before[j] <= cost {
 			cost, from = before[j], int16(j)
 		}
@@ -105,29 +104,30 @@
 	}
 }
 
-// cheapest notes, for each hall, the holder at which the cheapest chain ends.
-func (f *Finder) cheapest(before []float64, holders []Holder) {
-	for hall := range f.last {
-		f.last[hall] = -1
+// findCheapestEnds finds, for each hall, the holder at which the cheapest chain ends.
+func (f *Finder) findCheapestEnds(before []float64, holders []Holder) {
+	for hall := range f.cheapestEnds {
+		f.cheapestEnds[hall] = -1
 	}
 	for i, cost := range before {
 		if math.IsInf(cost, 1) {
 			continue
 		}
-		if best := f.last[holders[i].Hall]; best < 0 || cost < before[best] {
-			f.last[holders[i].Hall] = int16(i)
+		if best := f.cheapestEnds[holders[i].Hall]; best < 0 || cost < before[best] {
+			f.cheapestEnds[holders[i].Hall] = int16(i)
 		}
 	}
 }
 
-// enter returns the least cost of coming to holder j at cut k-1, and from where.
-func (f *Finder) enter(k, j int, before []float64, holders []Holder) (float64, int16) {
+// cheapestEntry returns the least cost of entering holder j at boundary k-1, and the holder
+// before it, -1 for none.
+func (f *Finder) cheapestEntry(k, j int, before []float64, holders []Holder) (float64, int16) {
 	h := holders[j]
 	if k == 1 {
 		return f.Entry[h.Hall] + h.Fixed, -1
 	}
 	cost, from := math.Inf(1), int16(-1)
-	for hall, i := range f.last {
+	for hall, i := range f.cheapestEnds {
 		if i < 0 || int(i) == j {
 			continue
 		}
@@ -141,7 +141,7 @@
 // trace follows the cheapest chain back from the last layer.
 func (f *Finder) trace(holders []Holder) (Chain, bool) {
 	n := len(holders)
-	k := len(f.cuts) - 1
+	k := len(f.boundaries) - 1
 	end := f.cost[k*n : (k+1)*n]
 	at := 0
 	for i := range end {
@@ -152,14 +152,14 @@
 	if math.IsInf(end[at], 1) {
 		return nil, false
 	}
-	chain := make(Chain, 0, usualParts)
+	chain := make(Chain, 0, initialCapacity)
 	for ; k > 0; k-- {
 		if len(chain) > 0 && chain[len(chain)-1].ID == holders[at].ID {
-			chain[len(chain)-1].Layers.First = f.cuts[k-1]
+			chain[len(chain)-1].Layers.First = f.boundaries[k-1]
 		} else {
 			chain = append(chain, Part{
 				ID: holders[at].ID, Address: holders[at].Address,
-				Layers: layer.Range{First: f.cuts[k-1], End: f.cuts[k]},
+				Layers: layer.Range{First: f.boundaries[k-1], End: f.boundaries[k]},
 			})
 		}
 		if from := f.from[k*n+at]; from >= 0 {
@@ -171,8 +171,8 @@
 	return chain, len(chain) <= MaxParts && chain.Covers(f.Layers)
 }
 
-// merge gives a holder that occurs again the layers between its parts. It holds
-// them: its layers are one range.
+// merge gives a holder that occurs again the layers between its parts. The holder has these
+// layers, since it holds a single range.
 func merge(c Chain) Chain {
 	for i := 0; i < len(c); i++ {
 		for j := len(c) - 1; j > i; j-- {
--- a/decide/chain/finder_test.go
+++ b/decide/chain/finder_test.go
@@ -13,7 +13,8 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// finder is one for three halls, among which a hop costs far more.
+// finder returns a Finder for three halls, with hops between halls far more costly than within
+// one.
 func finder(layers int) *chain.Finder {
 	return &chain.Finder{
 		Layers: layers, Entry: []float64{0, 1, 1},
@@ -34,12 +35,12 @@
 		want    string
 	}{
 		{"one holder", []chain.Holder{holder("a", 0, 0, 8, 1)}, "a:1[0,8)"},
-		{"a part of what one holds", []chain.Holder{holder("a", 0, 0, 6, 1), holder("b", 0, 4, 8, 0.1)}, "a:1[0,4) b:1[4,8)"},
-		{"stays in its hall", []chain.Holder{
+		{"a part of a holder's range", []chain.Holder{holder("a", 0, 0, 6, 1), holder("b", 0, 4, 8, 0.1)}, "a:1[0,4) b:1[4,8)"},
+		{"a chain stays in its hall", []chain.Holder{
 			holder("a", 0, 0, 4, 1), holder("b", 0, 4, 8, 1), holder("far", 1, 4, 8, 0.5),
 		}, "a:1[0,4) b:1[4,8)"},
-		{"leaves it for a missing part", []chain.Holder{holder("a", 0, 0, 4, 1), holder("far", 1, 4, 8, 1)}, "a:1[0,4) far:1[4,8)"},
-		{"comes back to no holder", []chain.Holder{holder("a", 0, 0, 8, 9), holder("b", 0, 3, 5, 1)}, "a:1[0,8)"},
+		{"a chain leaves its hall for missing layers", []chain.Holder{holder("a", 0, 0, 4, 1), holder("far", 1, 4, 8, 1)}, "a:1[0,4) far:1[4,8)"},
+		{"a chain does not return to a holder", []chain.Holder{holder("a", 0, 0, 8, 9), holder("b", 0, 3, 5, 1)}, "a:1[0,8)"},
 		{"gap", []chain.Holder{holder("a", 0, 0, 4, 1), holder("b", 0, 5, 8, 1)}, ""},
 		{"nobody", nil, ""},
 	}
@@ -54,9 +55,9 @@
 	}
 }
 
-// A chain is found whenever there is one, it runs each layer once and in order,
-// and it is nearly always as cheap as the best of a search without cuts, which
-// may come back to a holder.
+// Find finds a chain whenever there is one, the chain runs each layer once and in order, and
+// more than nine in ten cost no more than the best of an exhaustive search that may change
+// holders at any layer and return to a holder.
 func TestFoundChainsCoverAllLayers(t *testing.T) {
 	const layers = 12
 	random := rand.New(rand.NewPCG(1, 2))
@@ -69,14 +70,14 @@
 			holders = append(holders, holder(fmt.Sprint("h", i), random.IntN(3), first, end, random.Float64()))
 		}
 		c, ok := finder(layers).Find(holders)
-		least := cheapest(finder(layers), holders, place{0, -1}, map[place]float64{})
+		least := leastCost(finder(layers), holders, searchState{0, -1}, map[searchState]float64{})
 		require.Equal(t, !math.IsInf(least, 1), ok)
 		if !ok {
 			continue
 		}
 		found++
 		require.True(t, c.Covers(layers), c)
-		cost := costOf(finder(layers), holders, c)
+		cost := chainCost(finder(layers), holders, c)
 		require.GreaterOrEqual(t, cost, least-1e-9)
 		if cost < least+1e-9 {
 			best++
@@ -86,8 +87,8 @@
 	require.Greater(t, float64(best), 0.9*float64(found))
 }
 
-// costOf returns what a chain costs.
-func costOf(f *chain.Finder, holders []chain.Holder, c chain.Chain) float64 {
+// chainCost returns the cost of a chain.
+func chainCost(f *chain.Finder, holders []chain.Holder, c chain.Chain) float64 {
 	cost, last := 0.0, -1
 	for _, p := range c {
 		j := slices.IndexFunc(holders, func(h chain.Holder) bool { return h.ID == p.ID })
@@ -102,11 +103,11 @@
 	return cost
 }
 
-// place is a state of the search: the next layer and the holder before it.
-type place struct{ at, last int }
+// searchState is a state of the exhaustive search: the next layer and the holder before it.
+type searchState struct{ at, last int }
 
-// cheapest tries every way from a place on.
-func cheapest(f *chain.Finder, holders []chain.Holder, from place, known map[place]float64) float64 {
+// leastCost returns the least cost from a state to the last layer.
+func leastCost(f *chain.Finder, holders []chain.Holder, from searchState, known map[searchState]float64) float64 {
 	if from.at == f.Layers {
 		return 0
 	}
@@ -125,7 +126,7 @@
 		case from.last != j:
 			cost += f.Hops[holders[from.last].Hall][h.Hall]
 		}
-		best = min(best, cost+cheapest(f, holders, place{from.at + 1, j}, known))
+		best = min(best, cost+leastCost(f, holders, searchState{from.at + 1, j}, known))
 	}
 	known[from] = best
 	return best
