--- a/decide/flow/network.go
+++ b/decide/flow/network.go
@@ -1,6 +1,6 @@
-// Package flow computes the bound on throughput: the largest flow through the
-// cuts between layers, where each endpoint is an edge across the layers that it
-// holds.
+// Package flow computes an upper bound on the throughput of a model spread over endpoints: the
+// maximum flow through a network whose nodes are the boundaries between layers and whose edges
+// are the endpoints' ranges of layers.
 package flow
 
 import (
@@ -9,13 +9,13 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// Edge is an endpoint's range with its capacity, such as in tokens a second.
+// Edge is an endpoint's range of layers with its capacity, for example in tokens per second.
 type Edge struct {
 	Layers   layer.Range
 	Capacity float64
 }
 
-// Network is a layered model with the endpoints that hold parts of it.
+// Network is a model's layers and the endpoints that hold them.
 type Network struct {
 	// Layers is the number of layers of the model.
 	Layers int
@@ -28,10 +28,10 @@
 	return n
 }
 
-// Bound returns the largest flow from layer 0 to the last (Edmonds and Karp
-// 1972), in the unit of the capacities.
+// Bound returns the maximum flow from the first layer to the last (Edmonds and Karp 1972), in
+// the unit of the capacities.
 func (n Network) Bound() float64 {
-	g := n.residual()
+	g := n.residualGraph()
 	total := 0.0
 	for {
 		path := g.shortestPath()
@@ -51,25 +51,26 @@
 }
 
 type arc struct {
-	to   int
-	room float64
+	to       int
+	residual float64
 }
 
-// residual builds the graph; its nodes are the cuts, 0 the source.
-func (n Network) residual() *graph {
-	cuts := []int{0, n.Layers}
+// residualGraph builds the residual network. Its nodes are the boundaries between layers, node
+// 0 the source.
+func (n Network) residualGraph() *graph {
+	boundaries := []int{0, n.Layers}
 	for _, e := range n.Edges {
-		cuts = append(cuts, e.Layers.First, e.Layers.End)
+		boundaries = append(boundaries, e.Layers.First, e.Layers.End)
 	}
-	slices.Sort(cuts)
-	cuts = slices.Compact(cuts)
-	source, _ := slices.BinarySearch(cuts, 0)
-	sink, _ := slices.BinarySearch(cuts, n.Layers)
-	g := &graph{out: make([][]int, len(cuts)), sink: sink - source, nodes: len(cuts)}
+	slices.Sort(boundaries)
+	boundaries = slices.Compact(boundaries)
+	source, _ := slices.BinarySearch(boundaries, 0)
+	sink, _ := slices.BinarySearch(boundaries, n.Layers)
+	g := &graph{out: make([][]int, len(boundaries)), sink: sink - source, nodes: len(boundaries)}
 	merged := make(map[[2]int]float64)
 	for _, e := range n.Edges {
-		from, _ := slices.BinarySearch(cuts, e.Layers.First)
-		to, _ := slices.BinarySearch(cuts, e.Layers.End)
+		from, _ := slices.BinarySearch(boundaries, e.Layers.First)
+		to, _ := slices.BinarySearch(boundaries, e.Layers.End)
 		if !e.Layers.Empty() {
 			merged[[2]int{from - source, to - source}] += e.Capacity
 		}
@@ -87,11 +88,11 @@
 	g.arcs = append(g.arcs, arc{from, 0})
 }
 
-// epsilon is the room below which an arc counts as full.
+// epsilon is the residual capacity below which an arc counts as saturated.
 const epsilon = 1e-9
 
-// shortestPath returns the arcs of a path with the fewest arcs that has room,
-// or nil.
+// shortestPath returns the arcs of an augmenting path with the fewest arcs, or nil when there
+// is none.
 func (g *graph) shortestPath() []int {
 	via := make([]int, g.nodes)
 	for i := range via {
@@ -103,7 +104,7 @@
 		queue = queue[1:]
 		for _, i := range g.out[node] {
 			to := g.arcs[i].to
-			if g.arcs[i].room > epsilon && via[to] < 0 && to != 0 {
+			if g.arcs[i].residual > epsilon && via[to] < 0 && to != 0 {
 				via[to] = i
 				queue = append(queue, to)
 			}
@@ -119,15 +120,15 @@
 	return path
 }
 
-// push sends as much as fits along path and returns how much that was.
+// push augments the flow along path and returns the amount.
 func (g *graph) push(path []int) float64 {
-	room := g.arcs[path[0]].room
+	residual := g.arcs[path[0]].residual
 	for _, i := range path {
-		room = min(room, g.arcs[i].room)
+		residual = min(residual, g.arcs[i].residual)
 	}
 	for _, i := range path {
-		g.arcs[i].room -= room
-		g.arcs[i^1].room += room
+		g.arcs[i].residual -= residual
+		g.arcs[i^1].residual += residual
 	}
-	return room
+	return residual
 }
--- a/decide/flow/network_test.go
+++ b/decide/flow/network_test.go
@@ -13,7 +13,7 @@
 	return flow.Edge{Layers: layer.Range{First: first, End: end}, Capacity: capacity}
 }
 
-// The bounds are worked out by hand.
+// The expected bounds are computed by hand.
 func TestBound(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -26,8 +26,8 @@
 		{"replicas add up", []flow.Edge{edge(0, 6, 2), edge(0, 6, 3), edge(6, 12, 4)}, 4},
 		{"missing stage", []flow.Edge{edge(0, 4, 9), edge(8, 12, 7)}, 0},
 		{"two ways around", []flow.Edge{edge(0, 4, 5), edge(4, 12, 2), edge(4, 8, 2), edge(8, 12, 9), edge(0, 12, 1)}, 5},
-		{"cuts that do not meet", []flow.Edge{edge(0, 6, 5), edge(4, 12, 5)}, 0},
-		{"flow that must be moved back", []flow.Edge{
+		{"boundaries that do not meet", []flow.Edge{edge(0, 6, 5), edge(4, 12, 5)}, 0},
+		{"flow that must be rerouted", []flow.Edge{
 			edge(0, 4, 1), edge(0, 8, 1), edge(4, 8, 1), edge(4, 12, 1), edge(8, 12, 1),
 		}, 2},
 	}
