--- a/decide/layer/range.go
+++ b/decide/layer/range.go
@@ -1,18 +1,17 @@
-// Package layer describes which layers of a model an endpoint holds.
+// Package layer provides Range, a contiguous range of a model's layers.
 package layer
 
 import "fmt"
 
-// Range is a half-open range of layers, [First, End). The zero Range holds
-// no layer.
+// Range is the half-open range of layers [First, End). The zero Range is empty.
 type Range struct {
-	// First is the lowest layer held.
+	// First is the lowest layer of the range.
 	First int
-	// End is one past the highest layer held; never below First.
+	// End is one past the highest layer; never below First.
 	End int
 }
 
-// Intersect returns the layers that both ranges hold, the zero Range when there are none.
+// Intersect returns the layers that are in both ranges, the zero Range when there are none.
 func (r Range) Intersect(s Range) Range {
 	both := Range{First: max(r.First, s.First), End: min(r.End, s.End)}
 	if both.Empty() {
@@ -21,7 +20,7 @@
 	return both
 }
 
-// Empty reports whether r holds no layer.
+// Empty reports whether r has no layers.
 func (r Range) Empty() bool {
 	return r.End <= r.First
 }
