--- a/decide/view/view.go
+++ b/decide/view/view.go
@@ -1,5 +1,6 @@
-// Package view keeps what an entry knows of the endpoints, from their
-// heartbeats, from broken connections, and from the platform's list of hosts.
+// Package view tracks which endpoints an entry can use, from their heartbeats, from broken
+// connections, and from the platform's list of hosts. The entry passes each event to a View and
+// chooses endpoints from its Snapshot.
 package view
 
 import (
@@ -10,62 +11,64 @@
 	"github.com/grademill/grademill/decide/route"
 )
 
-// Snapshot is the view at one moment, ready for choices. It is immutable but
-// for the usage that its tables point to.
+// Snapshot is the state of a View at one moment. It is immutable except for the usage counters
+// that its tables and candidates point to.
 type Snapshot struct {
-	// Models maps a service to the table of its chains.
+	// Models maps a model service to the table of its endpoints.
 	Models map[string]*route.Table
 	// Plain maps a plain service to its endpoints that may take work.
 	Plain map[string][]route.Candidate
 	// Idle are the endpoints that wait for an order.
 	Idle []fleet.Endpoint
-	// All are all endpoints known, with those that may not take work.
+	// All are all known endpoints, including those that may not take work.
 	All []fleet.Endpoint
 }
 
-// View is the mutable view. It is not safe for concurrent use. Set the exported
-// fields before the first use.
+// View is the mutable set of known endpoints. It is not safe for concurrent use. The exported
+// fields must be set before the first use.
 type View struct {
 	// Home is the entry's own data hall.
 	Home string
-	// Links is the time between halls.
+	// Links returns the latency between halls.
 	Links route.Links
-	// Expiry is how long an endpoint counts without a heartbeat.
+	// Expiry is how long an endpoint stays known after its last heartbeat.
 	Expiry time.Duration
 
-	known map[string]*known
-	// byIncarnation finds the endpoint of a heartbeat that does not name it.
-	byIncarnation map[uint64]*known
+	// state is by endpoint name.
+	state map[string]*state
+	// byIncarnation finds the endpoint of a heartbeat, which carries no name.
+	byIncarnation map[uint64]*state
 }
 
-type known struct {
+// state is what a View knows of one endpoint.
+type state struct {
 	endpoint fleet.Endpoint
 	usage    *route.Usage
-	// suspect endpoints get no work until they are heard of again.
+	// suspect endpoints get no work until their next heartbeat.
 	suspect bool
-	// listed endpoints are leaving by the platform's list.
-	listed bool
+	// listedLeaving is set while the platform's list reports the host as leaving.
+	listedLeaving bool
 }
 
-// Introduced takes in an endpoint that has introduced itself. It reports whether
-// choices may come out differently.
+// Introduced records an endpoint's introduction of itself. It reports whether choices may
+// change.
 func (v *View) Introduced(e fleet.Endpoint) bool {
-	if v.known == nil {
-		v.known = make(map[string]*known)
-		v.byIncarnation = make(map[uint64]*known)
+	if v.state == nil {
+		v.state = make(map[string]*state)
+		v.byIncarnation = make(map[uint64]*state)
 	}
-	k := v.known[e.Name]
+	k := v.state[e.Name]
 	if k == nil {
-		k = &known{usage: new(route.Usage)}
-		v.known[e.Name] = k
+		k = &state{usage: new(route.Usage)}
+		v.state[e.Name] = k
 	}
 	former := k.endpoint
 	if former.Incarnation == e.Incarnation && former.Leaving {
-		e = e.WithLeaving(true) // an agent does not take it back; its introductions may overtake each other
+		e = e.WithLeaving(true) // leaving is final; introductions may arrive out of order
 	}
 	if former.Incarnation != e.Incarnation {
-		// What was open at the former incarnation is gone with it, and those
-		// who opened it take it off the former count.
+		// The sessions of the former incarnation have ended with it, and their
+		// owners subtract them from the former counter.
 		k.usage = new(route.Usage)
 		delete(v.byIncarnation, former.Incarnation)
 		v.byIncarnation[e.Incarnation] = k
@@ -75,9 +78,9 @@
 		former.Leaving != e.Leaving || former.Address != e.Address || former.Service != e.Service
 }
 
-// Heard takes in the rest of a heartbeat: that the agent lives, its load, and
-// its epoch. It returns the endpoint, whether choices may come out differently,
-// and false when no endpoint of that incarnation is known.
+// Heard records a heartbeat: the time, the agent's epoch and its load report. It returns the
+// endpoint and whether choices may change; ok is false when no endpoint of that incarnation is
+// known.
 func (v *View) Heard(now time.Time, incarnation, epoch uint64, r route.Report) (e fleet.Endpoint, changed, ok bool) {
 	k := v.byIncarnation[incarnation]
 	if k == nil {
@@ -91,16 +94,17 @@
 	return k.endpoint, changed, true
 }
 
-// Loaded takes in a load report that came with an answer.
+// Loaded records a load report that came with an answer.
 func (v *View) Loaded(name string, r route.Report) {
-	if k := v.known[name]; k != nil {
+	if k := v.state[name]; k != nil {
 		k.usage.Report(r)
 	}
 }
 
-// Suspect marks an endpoint as not to be used until it is heard of again.
+// Suspect excludes an endpoint from work until its next heartbeat. It reports whether choices
+// may change.
 func (v *View) Suspect(name string) bool {
-	k := v.known[name]
+	k := v.state[name]
 	if k == nil || k.suspect {
 		return false
 	}
@@ -108,9 +112,9 @@
 	return true
 }
 
-// SuspectAddress marks the endpoint behind an agent's address.
+// SuspectAddress is like Suspect for the endpoint with an agent's address.
 func (v *View) SuspectAddress(address string) bool {
-	for name, k := range v.known {
+	for name, k := range v.state {
 		if k.endpoint.Address == address {
 			return v.Suspect(name)
 		}
@@ -118,25 +122,24 @@
 	return false
 }
 
-// Listed takes in what the platform's list says of leaving hosts, by the
-// agents' addresses.
+// Listed records which hosts the platform's list reports as leaving, by the agents' addresses.
+// It reports whether choices may change.
 func (v *View) Listed(leaving map[string]bool) bool {
 	changed := false
-	for _, k := range v.known {
-		listed := leaving[k.endpoint.Address]
-		changed = changed || listed != k.listed
-		k.listed = listed
+	for _, k := range v.state {
+		listedLeaving := leaving[k.endpoint.Address]
+		changed = changed || listedLeaving != k.listedLeaving
+		k.listedLeaving = listedLeaving
 	}
 	return changed
 }
 
-// Expire forgets endpoints that have not been heard of for long, and returns
-// their names.
+// Expire removes endpoints whose last heartbeat is older than Expiry, and returns their names.
 func (v *View) Expire(now time.Time) []string {
 	var names []string
-	for name, k := range v.known {
+	for name, k := range v.state {
 		if now.Sub(k.endpoint.Seen) > v.Expiry {
-			delete(v.known, name)
+			delete(v.state, name)
 			delete(v.byIncarnation, k.endpoint.Incarnation)
 			names = append(names, name)
 		}
@@ -144,12 +147,12 @@
 	return names
 }
 
-// Snapshot returns the view as it stands, for the services of a configuration.
+// Snapshot returns the current state for the services of a configuration.
 func (v *View) Snapshot(services map[string]config.Object[config.Service]) *Snapshot {
 	s := &Snapshot{Models: make(map[string]*route.Table), Plain: make(map[string][]route.Candidate)}
 	byService := make(map[string][]route.Candidate)
-	for _, k := range v.known {
-		e := k.endpoint.WithLeaving(k.endpoint.Leaving || k.listed)
+	for _, k := range v.state {
+		e := k.endpoint.WithLeaving(k.endpoint.Leaving || k.listedLeaving)
 		s.All = append(s.All, e)
 		if e.Leaving || k.suspect {
 			continue
--- a/decide/view/view_test.go
+++ b/decide/view/view_test.go
@@ -10,8 +10,9 @@
 	"github.com/grademill/grademill/decide/view"
 )
 
-// An introduction that was sent before the agent said that it leaves may arrive after it.
-func TestLateIntroductionReopensALeavingEndpoint(t *testing.T) {
+// An introduction sent before the agent announced that it leaves may arrive after that
+// announcement.
+func TestLateIntroductionDoesNotReopenALeavingEndpoint(t *testing.T) {
 	var v view.View
 	before := fleet.Endpoint{Name: "a", Service: "records", Incarnation: 7}
 	services := map[string]config.Object[config.Service]{"records": {Value: config.Service{Kind: config.Plain}}}
@@ -24,5 +25,5 @@
 	next := before
 	next.Incarnation++
 	v.Introduced(next)
-	require.Equal(t, 1, open(), "it has started again")
+	require.Equal(t, 1, open(), "a new incarnation takes work again")
 }
