--- a/decide/catalog/catalog.go
+++ b/decide/catalog/catalog.go
@@ -1,5 +1,6 @@
-// Package catalog holds the configuration of a gateway: which route a request
-// takes, which services there are, and which team holds a key.
+// Package catalog holds one version of a gateway's configuration: the routes of requests, the
+// services, and the teams with their API keys. New builds a Catalog; its methods look up the
+// route of a request and the team of a key.
 package catalog
 
 import (
@@ -9,16 +10,16 @@
 	"time"
 )
 
-// Catalog is one version of the configuration. It is immutable: make it with
-// New. The zero Catalog has no route.
+// Catalog is one version of the configuration. It is immutable and must not be changed after
+// New. The zero Catalog has no routes.
 type Catalog struct {
-	// Version only rises from one catalog to the next.
+	// Version increases from one catalog to the next.
 	Version uint64
-	// Services are by name.
+	// Services maps names to services.
 	Services map[string]*Service
-	// Limits bound what callers may send.
+	// Limits bound the requests of callers.
 	Limits Limits
-	// routes are by host, the longest prefix first.
+	// routes are by host in lower case, those with the longest prefix first.
 	routes map[string][]*Route
 	// teams are by API key.
 	teams map[string]*Team
@@ -50,8 +51,8 @@
 	return c
 }
 
-// Route returns the route of a host and path: of the routes of that host, the
-// one with the longest prefix of the path. The port of the host is ignored.
+// Route returns the route for a host and path: the one of that host with the longest prefix of
+// the path. It ignores the host's port and case.
 func (c *Catalog) Route(host, path string) (*Route, bool) {
 	name, _, _ := strings.Cut(host, ":")
 	for _, r := range c.routes[strings.ToLower(name)] {
@@ -62,13 +63,13 @@
 	return nil, false
 }
 
-// Team returns the team that holds a key.
+// Team returns the team that owns an API key.
 func (c *Catalog) Team(key string) (*Team, bool) {
 	t, ok := c.teams[key]
 	return t, ok
 }
 
-// HasTeams reports whether callers must show a key.
+// HasTeams reports whether any API key is configured, so that callers need one.
 func (c *Catalog) HasTeams() bool {
 	return len(c.teams) > 0
 }
@@ -76,19 +77,19 @@
 // Team is a group of callers.
 type Team struct {
 	Name string
-	// Keys are its API keys.
+	// Keys are the team's API keys.
 	Keys []string
-	// Priority goes before that of a route; nil leaves it to the route. 0 is
-	// the most urgent.
+	// Priority overrides the priority of a route, 0 being the most urgent; nil keeps the
+	// route's.
 	Priority *int
 }
 
-// Limits bound what callers may send. A zero field is no bound.
+// Limits bound the requests of callers. A zero field means no bound.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTimeout is how long the head of a request may take.
+	// HeaderTimeout is how long the headers of a request may take to arrive.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection may rest between requests.
+	// IdleTimeout is how long a connection may be idle between requests.
 	IdleTimeout time.Duration
 }
--- a/decide/catalog/route.go
+++ b/decide/catalog/route.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// Kind says what a request does to the service when it is repeated.
+// Kind says whether a request may be repeated, and how it is answered.
 type Kind uint8
 
 // The kinds of requests.
 const (
-	// Once may run once at most.
+	// Once requests may run at most once.
 	Once Kind = iota
-	// Repeatable may run more than once.
+	// Repeatable requests may run more than once.
 	Repeatable
-	// Stream is answered by a series of events.
+	// Stream requests are answered by a stream of events.
 	Stream
 )
 
-// String returns the word of the logs.
+// String returns the name used in log lines.
 func (k Kind) String() string {
 	return [...]string{"once", "repeatable", "stream"}[k]
 }
 
-// Route says where the requests of one host and path prefix go, and how.
+// Route describes where the requests of one host and path prefix go, and how they are treated.
 type Route struct {
 	Name string
-	// Host is the name that callers ask for, without a port.
+	// Host is the host name of the requests, without a port.
 	Host string
 	// Prefix starts and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Shares are the services that take the requests, by weight; never empty.
+	// Shares are the services that receive the requests, by weight; never empty.
 	Shares []Share
-	// Timeout is how long a request is held at most; 0 for no bound.
+	// Timeout bounds the total time of a request; 0 means no bound.
 	Timeout time.Duration
-	// Objective is how soon an answer, or its first event, is wanted.
+	// Objective is the target time to the answer or to its first event.
 	Objective time.Duration
-	// MaxPause is the longest wanted pause between two events.
+	// MaxPause is the target for the longest pause between two events.
 	MaxPause time.Duration
-	// Priority is 0 for the most urgent.
+	// Priority is 0 for the most urgent requests.
 	Priority int
-	// Attempts is the number of endpoints that may run one request; at least 1.
+	// Attempts is the largest number of endpoints that may run one request; at least 1.
 	Attempts int
-	// Public needs no key.
+	// Public routes need no API key.
 	Public bool
-	// Resumable answers may go on at another endpoint after the last event.
+	// Resumable answers may continue at another endpoint after the last event.
 	Resumable bool
 }
 
@@ -52,14 +52,13 @@
 	Weight  int
 }
 
-// Repeats reports whether a request of the route may run again, whole or from
-// its last event.
+// Repeats reports whether a request may run again, from the start or from its last event.
 func (r *Route) Repeats() bool {
 	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
 }
 
-// Service returns the service of a request, picked by weight. The pick is any
-// number; the same number gives the same service.
+// Service returns a service of the route, chosen by weight. The same pick always gives the same
+// service.
 func (r *Route) Service(pick uint64) string {
 	total := 0
 	for _, s := range r.Shares {
--- a/decide/catalog/service.go
+++ b/decide/catalog/service.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// Service is what a set of endpoints offers.
+// Service is offered by a set of endpoints.
 type Service struct {
 	Name string
-	// Model is set for services whose endpoints hold layers of a model.
+	// Model is set for services whose endpoints hold layers of a model, and nil for plain
+	// services.
 	Model *Model
 }
 
-// Model is a model whose layers lie on several endpoints, and how long its
-// engine takes. The formula of the engine is on the users' pages: a token costs
-// Step, PerSequence for each request that writes and PerContext for each 1,000
-// tokens of context; reading a prompt costs 1/ReadRate a token. All are for a
-// whole model on a card of pace 1, and follow the share of the layers.
+// Model describes a model whose layers are spread over several endpoints, and the speed of its
+// engine. One step takes Step, plus PerSequence for each request that generates, plus
+// PerContext for each 1,000 tokens of context; reading a prompt takes 1/ReadRate seconds per
+// token. All times are for the whole model on a card of pace 1, and scale with the share of the
+// layers.
 type Model struct {
 	// Layers is the number of layers.
 	Layers int
@@ -21,33 +22,35 @@
 	LayerSize float64
 	// TokenSize is the memory of one token over all layers, in MB.
 	TokenSize float64
-	// Step, PerSequence and PerContext are the parts of a token's time.
+	// Step, PerSequence and PerContext are the components of the time per token.
 	Step, PerSequence, PerContext time.Duration
-	// ReadRate is the number of prompt tokens read in a second.
+	// ReadRate is the number of prompt tokens read per second.
 	ReadRate float64
-	// Handed is what an endpoint hands on for one token, and LinkRate what the
-	// line between two halls carries in a second, both in MB; 0 for no bound.
+	// Handed is the data that an endpoint passes on for one token, in MB, and LinkRate the
+	// capacity of the link between two halls, in MB per second; 0 means no bound.
 	Handed, LinkRate float64
-	// Slots is the number of requests that an engine runs together.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
 	// Load is the time to load all layers onto one card.
 	Load time.Duration
-	// Prompt and Answer are the usual sizes of a request, in tokens.
+	// Prompt and Answer are the typical sizes of a request, in tokens.
 	Prompt, Answer int
-	// Cards are the kinds of accelerators by name.
+	// Cards are the kinds of accelerator cards by name.
 	Cards map[string]Card
 }
 
-// Card is a kind of accelerator.
+// Card is a kind of accelerator card.
 type Card struct {
 	// Memory is in MB.
 	Memory float64
-	// Pace multiplies the time of a token, Read that of reading a prompt.
+	// Pace is a factor on the time per token, Read one on the time to read a prompt; higher is
+	// slower.
 	Pace, Read float64
 }
 
-// Room returns the number of tokens that fit beside so many layers on a card,
-// over those layers. It is negative when the layers do not fit.
+// Room returns the number of tokens for which a card has memory beside the given number of
+// layers, where a token takes memory for those layers only. It is negative when the layers do
+// not fit.
 func (m *Model) Room(card Card, layers int) int {
 	if layers <= 0 {
 		return 0
