--- a/decide/overlay/overlay.go
+++ b/decide/overlay/overlay.go
@@ -1,5 +1,7 @@
-// Package overlay decides which gateways tell each other what, and which of them
-// look after what, so that no gateway's work grows with the whole fleet.
+// Package overlay decides which gateways exchange updates with each other, and which of them do
+// work on behalf of others, so that no gateway's work grows with the size of the fleet. Every
+// gateway builds an Overlay from its own list of members; gateways with the same list decide
+// alike.
 package overlay
 
 import (
@@ -9,31 +11,32 @@
 	"github.com/grademill/grademill/decide/rendezvous"
 )
 
-// FlatSize is the size of a fleet up to which every gateway tells every other one
-// all. Above it the gateways of a hall do so among each other, and one of each hall
-// tells the other halls the sums. Mean worth of two sites' four days of high load (24
-// and 30 gateways): 0.79 with digests to 12 others, 0.78 with digests to 30, where the
-// bytes cost more than they win.
+// FlatSize is the size up to which every gateway sends its updates to all others. In a larger
+// fleet the gateways of a hall do so among each other, and one gateway of each hall sends the
+// hall's sums to the other halls. Under high load, fleets of 24 and 30 gateways scored 0.79
+// with digests to 12 others and 0.78 with digests to 30, where the traffic cost more than it
+// gained.
 const FlatSize = 12
 
 // Member is a gateway.
 type Member struct {
 	// Name is unique in the fleet.
 	Name string
-	// Address is where it hears digests.
+	// Address is where the gateway receives digests.
 	Address string
 	// Hall is its data hall.
 	Hall string
-	// Heard is set while it is heard of by itself, and not through another one.
+	// Heard is set while digests arrive from the gateway itself, and not only reports of it by
+	// others.
 	Heard bool
-	// Cut is set while the store gives it no answer, as far as it has said so.
+	// Cut is set while the store does not answer the gateway, by its own last report.
 	Cut bool
-	// LinkMegabits is what the link of its host carries, in Mbit/s, 0 when that is not known.
+	// LinkMegabits is the link capacity of the gateway's host in Mbit/s, 0 when unknown.
 	LinkMegabits uint32
 }
 
-// Overlay is what one gateway takes the fleet to be. It is immutable; the zero
-// Overlay has one gateway without a name.
+// Overlay is one gateway's view of the fleet. It is immutable; the zero Overlay has a single
+// gateway without a name.
 type Overlay struct {
 	// Self is the gateway itself.
 	Self Member
@@ -43,17 +46,17 @@
 	FlatUpTo int
 }
 
-// Size returns the number of gateways.
+// Size returns the number of gateways, including Self.
 func (o Overlay) Size() int {
 	return len(o.Others) + 1
 }
 
-// Flat reports whether every gateway tells every other one all.
+// Flat reports whether every gateway sends its updates to all others.
 func (o Overlay) Flat() bool {
 	return o.Size() <= cmp.Or(o.FlatUpTo, FlatSize)
 }
 
-// Audience returns the gateways that are told what this one uses.
+// Audience returns the gateways to which this one reports its use of endpoints.
 func (o Overlay) Audience() []Member {
 	if o.Flat() {
 		return o.Others
@@ -72,7 +75,7 @@
 	return list
 }
 
-// Trusting returns the same fleet with all gateways of this one's hall taken to be heard.
+// Trusting returns a copy of o in which all gateways of this one's hall count as heard.
 func (o Overlay) Trusting() Overlay {
 	o.Others = slices.Clone(o.Others)
 	for i := range o.Others {
@@ -81,7 +84,7 @@
 	return o
 }
 
-// Halls returns the halls of the other gateways without that of this one, sorted.
+// Halls returns the halls of the other gateways except this one's own, sorted.
 func (o Overlay) Halls() []string {
 	var list []string
 	for _, m := range o.Others {
@@ -93,13 +96,13 @@
 	return slices.Compact(list)
 }
 
-// Delegate reports whether this gateway speaks for its hall to the others.
+// Delegate reports whether this gateway sends its hall's sums to the other halls.
 func (o Overlay) Delegate() bool {
-	return !o.Flat() && o.turn(o.Self.Hall, o.live(o.Self.Hall)) == 0
+	return !o.Flat() && o.linkRank(o.Self.Hall, o.live(o.Self.Hall)) == 0
 }
 
-// live returns the other gateways of a hall that run, as far as this one can tell: it
-// hears nothing of those that others speak for.
+// live returns the other gateways of a hall that run, as far as this gateway can tell. Unless
+// the fleet is flat it gets no digests from gateways of other halls, so all of those count.
 func (o Overlay) live(hall string) []Member {
 	list := o.In(hall)
 	if hall != o.Self.Hall && !o.Flat() {
@@ -108,58 +111,61 @@
 	return slices.DeleteFunc(list, func(m Member) bool { return !m.Heard })
 }
 
-// relays is the number of gateways of a hall that by turns pass the sums of another hall on:
-// some may have ended without the others knowing, until their announcements go.
-const relays = 3
+// relaysPerHall is the number of gateways of a hall that take turns in passing on the sums of
+// another hall. One alone may have ended without the others' knowledge, until its announcement
+// is removed.
+const relaysPerHall = 3
 
-// Relay returns the gateway of another hall that passes this one's sums on there, at the
-// given turn. Each hall has others, so that none has all that work. The hall must have a
-// gateway.
-func (o Overlay) Relay(hall string, turn int) Member {
+// Relay returns the gateway of another hall that passes this hall's sums on there in the given
+// round. The relays differ from one sending hall to the next, so that none does all the work.
+// The hall must have a gateway.
+func (o Overlay) Relay(hall string, round int) Member {
 	list := ranking(o.Self.Hall, o.In(hall))
-	return list[turn%min(relays, len(list))]
+	return list[round%min(relaysPerHall, len(list))]
 }
 
 // The gateways of a hall that ask the store for changes.
 const (
-	// seats is the number of those that always do: one may be slow, or end.
-	seats = 2
-	// standbys is the number of those that do while the former have no answer. The others do not, so
-	// that a store that answers late does not meet the whole fleet.
-	standbys = 2
+	// storeReaderCount is the number of gateways that always ask: a single one may be slow or
+	// end.
+	storeReaderCount = 2
+	// standbyCount is the number of gateways that ask while those have no answer. The others do
+	// not, so that a store that answers late is not asked by the whole fleet.
+	standbyCount = 2
 )
 
-// storeKey is the key by which gateways are ranked for asking the store.
+// storeKey is the rendezvous key that ranks gateways for asking the store.
 const storeKey = "store"
 
-// Seats returns the gateways of this one's hall that ask the store for changes, so that
-// this one can ask them; none when it is to ask the store itself. Half of the gateways of
-// a hall have them in the other order.
+// Seats returns the gateways of this one's hall that ask the store for changes and that this
+// one asks instead, or none when this one must ask the store itself. Half of a hall's gateways
+// get them in reverse order, which spreads the load.
 func (o Overlay) Seats() []Member {
-	list, turn := o.storeRanking()
-	if turn < seats {
+	list, rank := o.storeRanking()
+	if rank < storeReaderCount {
 		return nil
 	}
-	list = list[:min(seats, len(list))]
+	list = list[:min(storeReaderCount, len(list))]
 	if rendezvous.Before(storeKey, o.Self.Name, namesOf(o.live(o.Self.Hall)))%2 == 1 {
 		slices.Reverse(list)
 	}
 	return list
 }
 
-// Standbys returns the gateways of this one's hall that ask the store while those of the seats have
-// no answer, and reports whether this one is to do so.
+// Standbys returns the gateways of this one's hall that ask the store while those of Seats have
+// no answer, and reports whether this one is among them.
 func (o Overlay) Standbys() (list []Member, self bool) {
-	list, turn := o.storeRanking()
-	if turn < seats+standbys {
-		return nil, turn >= seats
+	list, rank := o.storeRanking()
+	if rank < storeReaderCount+standbyCount {
+		return nil, rank >= storeReaderCount
 	}
-	return list[min(seats, len(list)):min(seats+standbys, len(list))], false
+	return list[min(storeReaderCount, len(list)):min(storeReaderCount+standbyCount, len(list))], false
 }
 
-// storeRanking returns the other gateways of this one's hall in the order in which they are to ask the
-// store, and how many come before this one. Those that the store does not answer are not among them. All
-// are ranked in one list, so that the gateways of a hall agree.
+// storeRanking returns the other gateways of this one's hall in the order in which they ask the
+// store, and the number of gateways before this one. It leaves out gateways that the store does
+// not answer. All gateways, this one included, are ranked in a single list, so that the
+// gateways of a hall agree.
 func (o Overlay) storeRanking() ([]Member, int) {
 	if o.Flat() {
 		return nil, 0
@@ -167,42 +173,43 @@
 	live := o.live(o.Self.Hall)
 	able := slices.DeleteFunc(slices.Clone(live), func(m Member) bool { return m.Cut })
 	if o.Self.Cut && len(able) > 0 {
-		return ranking(storeKey, able), seats + standbys
+		return ranking(storeKey, able), storeReaderCount + standbyCount
 	}
-	if len(able) == 0 && o.Self.Cut { // the store is away: it is not to meet all when it is back
+	if len(able) == 0 && o.Self.Cut { // the store is down: not all gateways may ask it once it is back
 		able = live
 	}
 	list := ranking(storeKey, append(able, o.Self))
-	turn := o.position(list)
-	return slices.Delete(list, turn, turn+1), turn
+	rank := o.position(list)
+	return slices.Delete(list, rank, rank+1), rank
 }
 
-// position returns where this gateway stands in a list.
+// position returns the index of this gateway in a list, -1 when absent.
 func (o Overlay) position(list []Member) int {
 	return slices.IndexFunc(list, func(m Member) bool { return m.Name == o.Self.Name })
 }
 
-// Rank returns how many gateways come before this one in looking after a thing of a
-// hall: those of that hall first.
+// Rank returns the number of gateways before this one in taking care of an item of a hall, such
+// as an endpoint. The gateways of that hall come first.
 func (o Overlay) Rank(key, hall string) int {
-	near := o.live(hall)
+	inHall := o.live(hall)
 	if hall == o.Self.Hall {
-		return o.rank(key, near)
+		return o.keyRank(key, inHall)
 	}
-	return len(near) + o.rank(key, o.outside(hall))
+	return len(inHall) + o.keyRank(key, o.outside(hall))
 }
 
-// Turn returns how many gateways come before this one in doing a thing of the whole fleet.
-// Those that are known to have ended do not count.
+// Turn returns the number of gateways before this one in doing work for the whole fleet. It
+// leaves out those that this gateway knows to have ended.
 func (o Overlay) Turn(key string) int {
-	return o.turn(key, append(o.live(o.Self.Hall), o.outside(o.Self.Hall)...))
+	return o.linkRank(key, append(o.live(o.Self.Hall), o.outside(o.Self.Hall)...))
 }
 
-// cleanKey is the key by which gateways are ranked for cleaning up after those that have ended.
+// cleanKey is the rendezvous key that ranks gateways for cleaning up after ended gateways.
 const cleanKey = "clean"
 
-// Cleans reports whether this gateway is to clean up after another one that has ended: one of its hall
-// does, and one of the fleet where there is no other hall, or none of that hall is left.
+// Cleans reports whether this gateway cleans up after another one that has ended. The delegate
+// of the ended gateway's hall does so; where the fleet is flat, or no gateway of that hall
+// remains, one of the fleet does.
 func (o Overlay) Cleans(ended Member) bool {
 	if !o.Flat() && (ended.Hall == o.Self.Hall || len(o.In(ended.Hall)) > 0) {
 		return ended.Hall == o.Self.Hall && o.Delegate()
@@ -210,17 +217,16 @@
 	return o.Turn(cleanKey) == 0
 }
 
-// keepers is the number of gateways that keep count of a thing: some may have ended without the
-// others knowing, or be cut off.
-const keepers = 5
+// keeperCount is the number of gateways that keep count of one key: some may have ended without
+// the others' knowledge, or be cut off.
+const keeperCount = 5
 
-// Keepers returns the gateways that keep count of a thing of the whole fleet, this one
-// among them where it is one. All gateways that know the same fleet name the same ones, the
-// first one first.
+// Keepers returns the gateways, possibly including this one, that keep count of a key for the
+// whole fleet, the first in rank first. Gateways with the same list of members agree on them.
 func (o Overlay) Keepers(key string) []Member {
 	all := append([]Member{o.Self}, o.Others...)
 	names := namesOf(all)
-	top := rendezvous.Top(key, names, keepers)
+	top := rendezvous.Top(key, names, keeperCount)
 	list := make([]Member, len(top))
 	for i, name := range top {
 		list[i] = all[slices.Index(names, name)]
@@ -239,17 +245,18 @@
 	return list
 }
 
-// turn returns how many of a list come before this gateway in doing a thing for others.
-func (o Overlay) turn(key string, others []Member) int {
+// linkRank returns the number of others before this gateway in the order of ranking.
+func (o Overlay) linkRank(key string, others []Member) int {
 	return o.position(ranking(key, append(slices.Clone(others), o.Self)))
 }
 
-// rank returns how many of a list come before this gateway for a key.
-func (o Overlay) rank(key string, others []Member) int {
+// keyRank returns the number of others before this gateway in the rendezvous order for a key
+// alone.
+func (o Overlay) keyRank(key string, others []Member) int {
 	return rendezvous.Before(key, o.Self.Name, namesOf(others))
 }
 
-// namesOf returns the names of gateways, in their order.
+// namesOf returns the names of gateways, in the same order.
 func namesOf(list []Member) []string {
 	names := make([]string, len(list))
 	for i, m := range list {
--- a/decide/overlay/overlay_test.go
+++ b/decide/overlay/overlay_test.go
@@ -11,7 +11,7 @@
 	"github.com/grademill/grademill/decide/overlay"
 )
 
-// fleet returns the members of a fleet, each hall of a size.
+// fleet returns the members of a fleet with the given number of gateways in each hall.
 func fleet(halls, each int) []overlay.Member {
 	var list []overlay.Member
 	for h := range halls {
@@ -24,7 +24,7 @@
 	return list
 }
 
-// views returns what each gateway of a fleet takes it to be.
+// views returns the overlay of each gateway of a fleet.
 func views(all []overlay.Member) []overlay.Overlay {
 	var list []overlay.Overlay
 	for i, self := range all {
@@ -40,7 +40,7 @@
 	return list
 }
 
-func TestSmallFleetTellsAll(t *testing.T) {
+func TestSmallFleetIsFlat(t *testing.T) {
 	for _, o := range views(fleet(3, 4)) {
 		require.True(t, o.Flat())
 		require.Len(t, o.Audience(), 11)
@@ -52,26 +52,26 @@
 	}
 }
 
-// In a large fleet a gateway tells those of its hall; one of each hall speaks for it.
-func TestLargeFleetTellsByHall(t *testing.T) {
-	speakers := make(map[string]int)
+// In a large fleet a gateway reports to those of its hall, and each hall has one delegate.
+func TestLargeFleetReportsByHall(t *testing.T) {
+	delegates := make(map[string]int)
 	for _, o := range views(fleet(5, 14)) {
 		require.Len(t, o.Audience(), 13)
 		require.Len(t, o.Halls(), 4)
 		if o.Delegate() {
-			speakers[o.Self.Hall]++
+			delegates[o.Self.Hall]++
 		}
 	}
-	require.Len(t, speakers, 5)
-	for hall, n := range speakers {
+	require.Len(t, delegates, 5)
+	for hall, n := range delegates {
 		require.Equal(t, 1, n, hall)
 	}
 }
 
-// The sums of a hall reach another one through three gateways by turns, which are not the
-// same for all halls.
+// The sums of a hall reach another one through three gateways in turn, which differ between
+// sending halls.
 func TestRelays(t *testing.T) {
-	through := make(map[string]bool)
+	relays := make(map[string]bool)
 	for _, o := range views(fleet(5, 14)) {
 		for _, hall := range o.Halls() {
 			one, two, three := o.Relay(hall, 1), o.Relay(hall, 2), o.Relay(hall, 3)
@@ -80,44 +80,44 @@
 			require.NotEqual(t, two.Name, three.Name)
 			require.Equal(t, one, o.Relay(hall, 4))
 			require.Equal(t, hall, one.Hall)
-			through[one.Name] = true
+			relays[one.Name] = true
 		}
 	}
-	require.Greater(t, len(through), 10)
+	require.Greater(t, len(relays), 10)
 }
 
-// Each thing has a first gateway to look after it, in its own hall, and the ranks of the
-// gateways of that hall are all different.
+// For each item, a gateway of the item's hall ranks first, and the gateways of that hall have
+// distinct ranks.
 func TestRanks(t *testing.T) {
 	all := views(fleet(5, 14))
 	for i := range 50 {
 		key, hall := fmt.Sprint("endpoint-", i), fmt.Sprint("hall-", i%5)
-		near := make(map[int]bool)
+		inHall := make(map[int]bool)
 		for _, o := range all {
 			rank := o.Rank(key, hall)
 			if o.Self.Hall == hall {
 				require.Less(t, rank, 14)
-				near[rank] = true
+				inHall[rank] = true
 			} else {
 				require.GreaterOrEqual(t, rank, 14)
 			}
 		}
-		require.Len(t, near, 14)
+		require.Len(t, inHall, 14)
 	}
 }
 
-// One gateway of the fleet is the first to do a thing of all, and the turns differ.
-func TestTurns(t *testing.T) {
-	turns := make(map[int]bool)
+// The gateways of a fleet have distinct ranks for work of the whole fleet, and one ranks first.
+func TestFleetRanks(t *testing.T) {
+	ranks := make(map[int]bool)
 	for _, o := range views(fleet(5, 14)) {
-		turns[o.Turn("orders")] = true
+		ranks[o.Turn("orders")] = true
 	}
-	require.Len(t, turns, 70)
-	require.True(t, turns[0])
+	require.Len(t, ranks, 70)
+	require.True(t, ranks[0])
 }
 
-// Those that have ended are passed over in ranks and as speakers.
-func TestEndedGatewaysHaveNoRank(t *testing.T) {
+// Gateways that have ended count neither in ranks nor as delegates.
+func TestEndedGatewaysAreNotRanked(t *testing.T) {
 	for _, o := range views(fleet(5, 4)) {
 		for i := range o.Others {
 			o.Others[i].Heard = false
@@ -128,9 +128,9 @@
 	}
 }
 
-// Two gateways of a hall ask the store, and the others ask these, half of them in the
-// other order. One that the store does not answer leaves its seat.
-func TestSeats(t *testing.T) {
+// Two gateways of a hall ask the store, and the others ask these two, half of them in reverse
+// order. Another gateway replaces one that the store does not answer.
+func TestStoreReaders(t *testing.T) {
 	first := make(map[string]int)
 	direct := make(map[string][]string)
 	for _, o := range views(fleet(5, 14)) {
@@ -164,9 +164,9 @@
 	}
 }
 
-// Where the store answers no gateway of the hall, two of them go on asking it; where it
-// answers only one, that one does.
-func TestSeatsWhileTheStoreIsAway(t *testing.T) {
+// Where the store answers no gateway of a hall, two of them keep asking it; where it answers
+// only one, that one does.
+func TestStoreReadersDuringAnOutage(t *testing.T) {
 	all := fleet(5, 4)
 	for i := range all {
 		all[i].Cut = true
@@ -191,8 +191,8 @@
 	}
 }
 
-// All gateways that know the same fleet name the same ones to keep count of a thing, among
-// them those of other halls, and in a small fleet all.
+// Gateways with the same list of members name the same keepers, from all halls, and every
+// gateway of a small fleet.
 func TestKeepersAreTheSameForAll(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{1, 3, 5, 60} {
@@ -213,62 +213,64 @@
 	}
 }
 
-// mixed returns a fleet whose halls have a few hosts with thick links among many with thin ones.
-func mixed(halls, thick, each int) []overlay.Member {
+// mixedLinks returns a fleet whose halls have a few hosts with fast links and many with slow
+// ones.
+func mixedLinks(halls, fast, each int) []overlay.Member {
 	list := fleet(halls, each)
 	for i := range list {
 		list[i].LinkMegabits = 20
-		if i%each < thick {
+		if i%each < fast {
 			list[i].LinkMegabits = 1000
 		}
 	}
 	return list
 }
 
-// A host with a thin link does nothing for many others while its hall has thick ones: the changes of a
-// configuration for 93 others filled such a link for seconds.
-func TestThinLinksServeNobody(t *testing.T) {
+// A host with a slow link does no work for many others while its hall has fast links: the
+// changes of a configuration for 93 others saturated such a link for seconds.
+func TestSlowLinksGetNoSharedWork(t *testing.T) {
 	t.Parallel()
-	for _, size := range []struct{ halls, thick, each int }{{5, 3, 19}, {5, 14, 94}, {5, 25, 200}} {
-		all := mixed(size.halls, size.thick, size.each)
-		thin := func(m overlay.Member) bool { return m.LinkMegabits < 1000 }
-		seats := 0
+	for _, size := range []struct{ halls, fast, each int }{{5, 3, 19}, {5, 14, 94}, {5, 25, 200}} {
+		all := mixedLinks(size.halls, size.fast, size.each)
+		slow := func(m overlay.Member) bool { return m.LinkMegabits < 1000 }
+		readers := 0
 		for _, o := range views(all) {
 			if len(o.Seats()) == 0 {
-				seats++
-				require.False(t, thin(o.Self))
+				readers++
+				require.False(t, slow(o.Self))
 			}
-			require.False(t, o.Delegate() && thin(o.Self))
-			require.False(t, o.Turn("orders") == 0 && thin(o.Self))
+			require.False(t, o.Delegate() && slow(o.Self))
+			require.False(t, o.Turn("orders") == 0 && slow(o.Self))
 			for _, hall := range o.Halls() {
-				require.False(t, thin(o.Relay(hall, 1)) || thin(o.Relay(hall, 2)) || thin(o.Relay(hall, 3)))
+				require.False(t, slow(o.Relay(hall, 1)) || slow(o.Relay(hall, 2)) || slow(o.Relay(hall, 3)))
 			}
 		}
-		require.Equal(t, 2*size.halls, seats)
+		require.Equal(t, 2*size.halls, readers)
 	}
 }
 
-// A single thick link among thin ones is not to carry all.
-func TestOneThickLinkServesNotAll(t *testing.T) {
+// A single host with a fast link does not do all the work of a hall of slow links.
+func TestSingleFastLinkIsNotOverloaded(t *testing.T) {
 	t.Parallel()
-	seats := make(map[bool]int)
-	for _, o := range views(mixed(5, 1, 19)) {
+	readers := make(map[bool]int)
+	for _, o := range views(mixedLinks(5, 1, 19)) {
 		if len(o.Seats()) == 0 {
-			seats[o.Self.LinkMegabits == 1000]++
+			readers[o.Self.LinkMegabits == 1000]++
 		}
 	}
-	require.Equal(t, 10, seats[true]+seats[false])
-	require.Greater(t, seats[false], 5)
+	require.Equal(t, 10, readers[true]+readers[false])
+	require.Greater(t, readers[false], 5)
 }
 
-// Two more gateways of a hall ask the store while the first two have no answer, and all others ask these.
+// Two more gateways of a hall ask the store while the first two have no answer, and all others
+// ask these two.
 func TestStandbys(t *testing.T) {
 	t.Parallel()
-	standing, asked := make(map[string][]string), make(map[string]map[string]bool)
+	standbys, asked := make(map[string][]string), make(map[string]map[string]bool)
 	for _, o := range views(fleet(5, 14)) {
 		list, self := o.Standbys()
 		if self {
-			standing[o.Self.Hall] = append(standing[o.Self.Hall], o.Self.Name)
+			standbys[o.Self.Hall] = append(standbys[o.Self.Hall], o.Self.Name)
 			require.Len(t, o.Seats(), 2)
 		}
 		require.Equal(t, self || len(o.Seats()) == 0, len(list) == 0)
@@ -279,34 +281,34 @@
 			asked[m.Hall][m.Name] = true
 		}
 	}
-	for hall, names := range standing {
+	for hall, names := range standbys {
 		require.Len(t, names, 2)
 		require.ElementsMatch(t, names, slices.Collect(maps.Keys(asked[hall])))
 	}
-	require.Len(t, standing, 5)
+	require.Len(t, standbys, 5)
 	for _, o := range views(fleet(5, 3)) {
 		_, self := o.Standbys()
 		require.Equal(t, len(o.Seats()) > 0, self)
 	}
 }
 
-// Those that a gateway asks are those that ask the store, at every size of a hall: ranked with itself and
-// without, a gateway of 24 took others for these than they did themselves.
-func TestAskersAgreeOnWhoAsksTheStore(t *testing.T) {
+// The gateways that others ask are those that ask the store, whatever the size of the hall.
+// When each gateway ranked the others without itself, one in a hall of 24 disagreed with them.
+func TestGatewaysAgreeOnTheStoreReaders(t *testing.T) {
 	t.Parallel()
 	for each := 13; each <= 34; each++ {
-		for thick := 1; thick <= 4; thick++ {
-			asked, direct := make(map[string]bool), make(map[string]bool)
-			for _, o := range views(mixed(2, thick, each)) {
+		for fast := 1; fast <= 4; fast++ {
+			selected, direct := make(map[string]bool), make(map[string]bool)
+			for _, o := range views(mixedLinks(2, fast, each)) {
 				list := o.Seats()
 				if len(list) == 0 {
 					direct[o.Self.Name] = true
 				}
 				for _, m := range list {
-					asked[m.Name] = true
+					selected[m.Name] = true
 				}
 			}
-			require.Equal(t, direct, asked, "%d of %d with thick links", thick, each)
+			require.Equal(t, direct, selected, "%d of %d with fast links", fast, each)
 		}
 	}
 }
--- a/decide/overlay/strength.go
+++ b/decide/overlay/strength.go
@@ -6,47 +6,48 @@
 	"github.com/grademill/grademill/decide/rendezvous"
 )
 
-// What one gateway does for many others fills a thin link: a configuration of 80 kB for 93 others
-// takes 20 Mbit/s for three seconds.
+// Work on behalf of many others saturates a slow link: sending a configuration of 80 kB to 93
+// others takes three seconds at 20 Mbit/s. Gateways with fast links therefore do it first.
 const (
-	// strongShare is the part of some gateways that is looked at for the best links, and strongLeast
-	// their least number: a thing is not left to a single one.
-	strongShare, strongLeast = 8, 2
-	// strongBelow is how many times thinner than the thinnest of these a link may be.
-	strongBelow = 2
+	// fastDivisor and minFast select the gateways that set the threshold of a fast link: the
+	// fastest 1/fastDivisor of all, but at least minFast, so that work never depends on a
+	// single gateway.
+	fastDivisor, minFast = 8, 2
+	// fastTolerance is the factor by which a fast link may be slower than theirs.
+	fastTolerance = 2
 )
 
-// leastStrong returns the thinnest link of the gateways of a list that have the best ones: an eighth of them,
-// and those that are about as good. Where links are alike, that is all of them.
-func leastStrong(list []Member) uint32 {
+// fastThreshold returns the least capacity of a fast link among the gateways of a list, in
+// Mbit/s. Where all links are alike, all are fast.
+func fastThreshold(list []Member) uint32 {
 	links := make([]uint32, len(list))
 	for i, m := range list {
 		links[i] = m.LinkMegabits
 	}
 	slices.Sort(links)
-	pool := min(max(len(links)/strongShare, strongLeast), len(links))
-	return links[len(links)-pool] / strongBelow
+	pool := min(max(len(links)/fastDivisor, minFast), len(links))
+	return links[len(links)-pool] / fastTolerance
 }
 
-// ranking returns a list in the order in which its gateways are to do a thing for others: those with
-// the best links first, and among these, and among the rest, by the key.
+// ranking returns the gateways of a list in the order in which they do work on behalf of
+// others: those with fast links first, and both groups in rendezvous order for the key.
 func ranking(key string, list []Member) []Member {
 	if len(list) == 0 {
 		return nil
 	}
-	least := leastStrong(list)
-	first, rest := make([]Member, 0, len(list)), []Member(nil)
+	threshold := fastThreshold(list)
+	fast, slow := make([]Member, 0, len(list)), []Member(nil)
 	for _, m := range byKey(key, list) {
-		if m.LinkMegabits >= least {
-			first = append(first, m)
+		if m.LinkMegabits >= threshold {
+			fast = append(fast, m)
 		} else {
-			rest = append(rest, m)
+			slow = append(slow, m)
 		}
 	}
-	return append(first, rest...)
+	return append(fast, slow...)
 }
 
-// byKey returns gateways in the order of their weights for a key.
+// byKey returns gateways in rendezvous order for a key.
 func byKey(key string, list []Member) []Member {
 	named := make(map[string]Member, len(list))
 	for _, m := range list {
