--- a/decide/rendezvous/ranking.go
+++ b/decide/rendezvous/ranking.go
@@ -1,6 +1,6 @@
-// Package rendezvous ranks nodes for a key by highest random weight, so that
-// every process with the same list picks the same nodes and a change of the
-// list moves as little as it can.
+// Package rendezvous ranks nodes for a key by highest random weight, so that all processes with
+// the same list of nodes choose the same ones, and a change of the list moves as few keys as
+// possible.
 package rendezvous
 
 import (
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Top returns the n nodes of highest weight for key, the highest first. It
-// returns all nodes when there are fewer than n.
+// Top returns the n nodes of highest weight for key in descending order, or all nodes when
+// there are fewer than n.
 func Top(key string, nodes []string, n int) []string {
 	type scored struct {
 		node  string
@@ -32,7 +32,7 @@
 	return top
 }
 
-// Before returns how many of the nodes come before one in the ranking for key.
+// Before returns the number of nodes that come before node in the ranking for key.
 func Before(key, node string, nodes []string) int {
 	own := score(key, node)
 	n := 0
@@ -44,7 +44,7 @@
 	return n
 }
 
-// score mixes key and node; the zero byte keeps ("a","bc") and ("ab","c") apart.
+// score hashes key and node. The zero byte separates ("a","bc") from ("ab","c").
 func score(key, node string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/decide/rendezvous/ranking_test.go
+++ b/decide/rendezvous/ranking_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestRemovalMovesOnlyWhatWasThere(t *testing.T) {
+func TestRemovalMovesOnlyKeysOfTheRemovedNode(t *testing.T) {
 	all := nodes(10)
 	for i := range 1000 {
 		key := fmt.Sprintf("key-%d", i)
