--- a/decide/config/check.go
+++ b/decide/config/check.go
@@ -13,17 +13,17 @@
 	"github.com/gravitational/trace"
 )
 
-// InvalidError is an object that cannot be accepted.
+// InvalidError reports an object that fails validation.
 type InvalidError struct {
 	Kind Kind
 	Name string
-	// Field is the member at fault, empty when it is the whole object.
+	// Field is the invalid JSON member, empty when the whole object is invalid.
 	Field string
-	// Problem says what is wrong and what is allowed.
+	// Problem describes the fault and the allowed values.
 	Problem string
 }
 
-// Error names the object, the field and the problem.
+// Error returns a message with the object, the field and the problem.
 func (e *InvalidError) Error() string {
 	where := string(e.Kind) + "/" + e.Name
 	if e.Field != "" {
@@ -32,31 +32,32 @@
 	return where + ": " + e.Problem
 }
 
-// namePattern is what names of objects look like.
+// namePattern matches valid object names.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-var checker = sync.OnceValue(func() *validator.Validate {
+var structValidator = sync.OnceValue(func() *validator.Validate {
 	return validator.New(validator.WithRequiredStructEnabled())
 })
 
-// Check returns an InvalidError when body is no acceptable object of the kind.
+// Check returns an InvalidError when body is not a valid object of the kind, and a KindError
+// for an unknown kind.
 func Check(kind Kind, name string, body []byte) error {
 	if !namePattern.MatchString(name) {
 		return trace.Wrap(&InvalidError{kind, name, "name", "use up to 63 of a-z, 0-9, '.', '_' and '-', starting with a letter or digit"})
 	}
 	switch kind {
 	case KindService:
-		return check[Service](kind, name, body)
+		return checkBody[Service](kind, name, body)
 	case KindTeam:
-		return check[Team](kind, name, body)
+		return checkBody[Team](kind, name, body)
 	case KindPolicy:
-		return check[Policy](kind, name, body)
+		return checkBody[Policy](kind, name, body)
 	}
 	return trace.Wrap(&KindError{kind})
 }
 
-// check decodes body strictly and validates it.
-func check[T any](kind Kind, name string, body []byte) error {
+// checkBody decodes body strictly and validates it.
+func checkBody[T any](kind Kind, name string, body []byte) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	var value T
@@ -67,18 +68,18 @@
 		return trace.Wrap(&InvalidError{kind, name, "", "more than one JSON value"})
 	}
 	var fields validator.ValidationErrors
-	if err := checker().Struct(value); errors.As(err, &fields) {
+	if err := structValidator().Struct(value); errors.As(err, &fields) {
 		f := fields[0]
 		return trace.Wrap(&InvalidError{kind, name, strings.ToLower(f.Field()), fmt.Sprintf("must satisfy %s %s", f.Tag(), f.Param())})
 	}
 	return nil
 }
 
-// fieldOf returns the member that a decoding error is about.
+// fieldOf returns the JSON member that a decoding error refers to, or "".
 func fieldOf(err error) string {
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) {
-		return wrong.Field
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return typeErr.Field
 	}
 	return ""
 }
--- a/decide/config/state.go
+++ b/decide/config/state.go
@@ -1,5 +1,5 @@
-// Package config holds the operators' configuration: services, teams and
-// policies, and how changes make one state out of another.
+// Package config defines the operators' configuration of services, teams and policies. Check
+// validates an object, and State.With applies a change to a State.
 package config
 
 import (
@@ -20,58 +20,55 @@
 	Plain ServiceKind = "plain"
 )
 
-// Service is something that callers ask for by name.
+// Service is something that callers request by name.
 type Service struct {
 	Kind ServiceKind `json:"kind" validate:"required,oneof=model plain"`
-	// Model is the model's name; set for kind model only.
+	// Model is the model's name, set for kind model only.
 	Model string `json:"model,omitempty" validate:"required_if=Kind model,max=128"`
 	// Version is the model's version.
 	Version string `json:"version,omitempty" validate:"max=64"`
-	// Layers is the number of layers; set for kind model only.
+	// Layers is the number of layers, set for kind model only.
 	Layers int `json:"layers,omitempty" validate:"required_if=Kind model,min=0,max=10000"`
-	// Repeatable is whether a request may run more than once where no policy
-	// says otherwise.
+	// Repeatable is whether a request may run more than once unless a policy decides otherwise.
 	Repeatable bool `json:"repeatable"`
-	// LayersPerEngine is how many layers one engine can hold, which placement needs;
-	// zero means that placement leaves the service alone.
+	// LayersPerEngine is the number of layers that one engine can hold; zero turns placement
+	// off for the service.
 	LayersPerEngine int `json:"layers_per_engine,omitempty" validate:"min=0,max=10000"`
 }
 
 // Team is a group of callers.
 type Team struct {
-	// Weight is the team's share; zero means 1.
+	// Weight is the team's relative share; zero means 1.
 	Weight float64 `json:"weight,omitempty" validate:"min=0,max=1000000"`
-	// KeySHA256 are the hashes, in hexadecimal, of the keys that the team's
-	// callers authenticate with.
+	// KeySHA256 are the hexadecimal SHA-256 hashes of the team's API keys.
 	KeySHA256 []string `json:"key_sha256" validate:"max=16,dive,len=64,hexadecimal,lowercase"`
-	// MaxInFlight bounds the team's requests in flight at one entry; zero means
-	// no bound.
+	// MaxInFlight bounds the team's concurrent requests at one entry; zero means no bound.
 	MaxInFlight int `json:"max_in_flight,omitempty" validate:"min=0"`
-	// Services are what the team may call; empty means all.
+	// Services are the services that the team may call; empty means all.
 	Services []string `json:"services,omitempty" validate:"max=256"`
 }
 
-// Policy says how a class of requests is treated. Its fields are programs in
-// CEL; an empty one leaves the default.
+// Policy sets how a class of requests is treated. Its string fields are CEL expressions; an
+// empty one keeps the default.
 type Policy struct {
 	// Match selects the requests, a bool.
 	Match string `json:"match" validate:"required,max=4096"`
-	// Repeatable is whether the request may run more than once, a bool.
+	// Repeatable is whether a request may run more than once, a bool.
 	Repeatable string `json:"repeatable,omitempty" validate:"max=4096"`
-	// Priority orders classes, an int; a higher one goes first.
+	// Priority is an int; a higher one is served first.
 	Priority string `json:"priority,omitempty" validate:"max=4096"`
-	// Deadline is the longest that a request may take, a duration.
+	// Deadline is the longest time that a request may take, a duration.
 	Deadline string `json:"deadline,omitempty" validate:"max=4096"`
 	// Place is whether a model may be loaded on a host, a bool over host.
 	Place string `json:"place,omitempty" validate:"max=4096"`
-	// Recovery is "resume" or "fail", a string: whether an answer whose chain
-	// lost a stage goes on along another chain.
+	// Recovery is "resume" or "fail", a string: whether an answer continues along another chain
+	// after its chain has lost a stage.
 	Recovery string `json:"recovery,omitempty" validate:"max=4096"`
-	// Order places the policy among the others: the lowest that matches wins.
+	// Order ranks policies: of those that match, the one with the lowest Order applies.
 	Order int `json:"order"`
 }
 
-// Kind is a kind of object.
+// Kind is a kind of configuration object.
 type Kind string
 
 // The kinds of objects.
@@ -81,15 +78,15 @@
 	KindPolicy  Kind = "policies"
 )
 
-// Change is one write of an operator.
+// Change is one write by an operator.
 type Change struct {
-	// Who made the change.
+	// Who is the operator that made the change.
 	Who string `json:"who"`
-	// At is the time at the entry that took the change, for people only.
+	// At is the clock of the entry that accepted the change, for display only.
 	At   time.Time `json:"at"`
 	Kind Kind      `json:"kind"`
 	Name string    `json:"name"`
-	// Body is the object, or null when it is retired.
+	// Body is the object, or null to delete it.
 	Body json.RawMessage `json:"body"`
 }
 
@@ -99,47 +96,47 @@
 	Value    T      `json:"value"`
 }
 
-// State is the whole configuration at one revision. It is immutable: With
-// returns a changed copy. The zero State is the empty configuration.
+// State is the whole configuration at one revision. It is immutable: With returns a changed
+// copy. The zero State is the empty configuration.
 type State struct {
-	// Revision is that of the last change; it only rises.
+	// Revision is that of the last change; it only increases.
 	Revision uint64                     `json:"revision"`
 	Services map[string]Object[Service] `json:"services,omitempty"`
 	Teams    map[string]Object[Team]    `json:"teams,omitempty"`
 	Policies map[string]Object[Policy]  `json:"policies,omitempty"`
 }
 
-// OrderError is a change that does not follow the state.
+// OrderError reports a change whose revision does not follow that of the state.
 type OrderError struct {
 	// Have is the state's revision, Got the change's.
 	Have, Got uint64
 }
 
-// Error returns both revisions.
+// Error returns a message with both revisions.
 func (e *OrderError) Error() string {
 	return fmt.Sprintf("change %d does not follow revision %d", e.Got, e.Have)
 }
 
-// KindError is a kind of object that does not exist.
+// KindError reports an unknown kind of object.
 type KindError struct {
 	Kind Kind
 }
 
-// Error names the kind.
+// Error returns a message with the kind and the valid ones.
 func (e *KindError) Error() string {
 	return fmt.Sprintf("no objects of kind %q: use services, teams or policies", string(e.Kind))
 }
 
-// MatchError is a change whose condition does not hold.
+// MatchError reports a conditional change whose condition does not hold.
 type MatchError struct {
 	Kind Kind
 	Name string
-	// Have is the object's revision, 0 when it does not exist; Want is what
-	// the change asked for.
+	// Have is the object's revision, 0 when it does not exist; Want is the revision that the
+	// change requires.
 	Have, Want uint64
 }
 
-// Error names the object and both revisions.
+// Error returns a message with the object and both revisions.
 func (e *MatchError) Error() string {
 	return fmt.Sprintf("%s/%s is at revision %d, not %d", e.Kind, e.Name, e.Have, e.Want)
 }
@@ -157,8 +154,8 @@
 	return 0
 }
 
-// With returns the state after the change with the given revision, which must
-// be the next one.
+// With returns the state after a change with the given revision. It returns an OrderError
+// unless the revision is the next one, and a KindError for an unknown kind.
 func (s *State) With(revision uint64, c Change) (*State, error) {
 	if revision != s.Revision+1 {
 		return nil, trace.Wrap(&OrderError{s.Revision, revision})
@@ -168,11 +165,11 @@
 	var err error
 	switch c.Kind {
 	case KindService:
-		next.Services, err = with(s.Services, revision, c)
+		next.Services, err = applyChange(s.Services, revision, c)
 	case KindTeam:
-		next.Teams, err = with(s.Teams, revision, c)
+		next.Teams, err = applyChange(s.Teams, revision, c)
 	case KindPolicy:
-		next.Policies, err = with(s.Policies, revision, c)
+		next.Policies, err = applyChange(s.Policies, revision, c)
 	default:
 		err = trace.Wrap(&KindError{c.Kind})
 	}
@@ -182,8 +179,8 @@
 	return &next, nil
 }
 
-// with returns objects with the change of one.
-func with[T any](objects map[string]Object[T], revision uint64, c Change) (map[string]Object[T], error) {
+// applyChange returns a copy of objects with one change applied.
+func applyChange[T any](objects map[string]Object[T], revision uint64, c Change) (map[string]Object[T], error) {
 	next := maps.Clone(objects)
 	if len(c.Body) == 0 || string(c.Body) == "null" {
 		delete(next, c.Name)
--- a/decide/config/state_test.go
+++ b/decide/config/state_test.go
@@ -81,7 +81,7 @@
 			}
 			var zero config.State
 			_, err := zero.With(1, change(kind, "x", body))
-			require.NoError(t, err, "what is accepted can be applied")
+			require.NoError(t, err, "an accepted object can be applied")
 		}
 	})
 }
