--- a/decide/fleet/endpoint.go
+++ b/decide/fleet/endpoint.go
@@ -1,4 +1,5 @@
-// Package fleet describes the endpoints that a process knows of.
+// Package fleet defines Endpoint, the description of a back end that entries use to choose
+// chains.
 package fleet
 
 import (
@@ -7,42 +8,41 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// Endpoint is what is known of one back end and the agent beside it. It is an
-// immutable value: the With methods return changed copies.
+// Endpoint describes one back end and the agent beside it. It is an immutable value:
+// WithLeaving returns a changed copy.
 type Endpoint struct {
-	// Name identifies the endpoint in the fleet; never empty in a table.
+	// Name identifies the endpoint in the fleet; never empty in a route.Table.
 	Name string
-	// Address is the agent's address for steps and control.
+	// Address is the agent's address for steps and control messages.
 	Address string
 	// Hall is the data hall of the host.
 	Hall string
-	// Incarnation rises each time the agent starts; it fences work meant for
-	// an earlier one.
+	// Incarnation increases with each start of the agent and fences off work meant for an
+	// earlier one.
 	Incarnation uint64
-	// Epoch is the agent's epoch for calls that run at most once, when a call is
-	// about to be made; see package once.
+	// Epoch is the agent's epoch for calls that run at most once, valid when a call is about to
+	// be made; see package once.
 	Epoch uint64
 	// Service is the service that the endpoint serves.
 	Service string
-	// Layers is the range held; empty for plain services and for endpoints
-	// that wait for an order.
+	// Layers is the range held; empty for plain services and for endpoints that wait for an
+	// order.
 	Layers layer.Range
 	// Leaving endpoints get no new work.
 	Leaving bool
-	// StepTime is the learned time of one step; zero while not yet learned.
+	// StepTime is the measured time of one step; zero while unknown.
 	StepTime time.Duration
 	// Sessions is the number of requests open at the endpoint.
 	Sessions int
-	// Limit is the number of sessions the agent admits; zero means unknown.
+	// Limit is the number of sessions that the agent admits; zero while unknown.
 	Limit int
-	// Batch is the number of steps that the endpoint takes together; zero means
-	// unknown.
+	// Batch is the number of steps that the endpoint runs together; zero while unknown.
 	Batch int
-	// Seen is when the agent was last heard of.
+	// Seen is the time of the agent's last heartbeat.
 	Seen time.Time
 }
 
-// WithLeaving returns e marked as leaving or not.
+// WithLeaving returns e with Leaving set to leaving.
 func (e Endpoint) WithLeaving(leaving bool) Endpoint {
 	e.Leaving = leaving
 	return e
