--- a/decide/holding/holding.go
+++ b/decide/holding/holding.go
@@ -1,4 +1,5 @@
-// Package holding describes endpoints that hold other layers than their records say.
+// Package holding tracks endpoints whose own report of their layers contradicts their record in
+// the store. A Holding is such a report; Counts tells for how long it takes precedence.
 package holding
 
 import (
@@ -7,16 +8,16 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// Holding is what an endpoint said that it holds while its record said something else: it has
-// started anew, or its record lags. It is immutable.
+// Holding is an endpoint's report of layers that differ from its record: the endpoint has
+// restarted, or the record is stale. It is immutable.
 type Holding struct {
-	// Held is what the endpoint said at a time, and Recorded what its record said then.
+	// Held is the reported range, Recorded the range in the record at the time of the report.
 	Held, Recorded layer.Range
 	At             time.Time
 }
 
-// Counts reports whether the endpoint's word counts at now beside a record: until the record changes,
-// or for as long as it may lag.
+// Counts reports whether the report takes precedence at now over a record of the given range:
+// until the record changes, but no longer than lag, by which a record may be late.
 func (h Holding) Counts(recorded layer.Range, now time.Time, lag time.Duration) bool {
 	return h.Recorded == recorded && now.Sub(h.At) <= lag
 }
