--- a/decide/member/set.go
+++ b/decide/member/set.go
@@ -1,5 +1,5 @@
-// Package member keeps which entries there are: from the platform's list, which
-// lags and has outages, and from the entries themselves.
+// Package member tracks the entries of a fleet. A Set combines the platform's list, which lags
+// and has outages, with the messages of the entries themselves.
 package member
 
 import (
@@ -10,32 +10,33 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// Set is the entries known. The zero Set is empty. It is not safe for
-// concurrent use.
+// Set is a set of known entries. The zero Set is empty. It is not safe for concurrent use.
 type Set struct {
-	// Keep is how long an entry counts that is not on the platform's list,
-	// since it was last heard.
+	// Keep is how long an entry that is not on the platform's list stays known after it was
+	// last heard of.
 	Keep time.Duration
 
-	known  map[string]*known
-	all    []*wire.Peer // sorted by address; replaced, never changed
-	shared []*wire.Peer // the part of all that is passed on
+	state  map[string]*state
+	all    []*wire.Peer // sorted by address; replaced, never modified
+	shared []*wire.Peer // the members of all that Shared returns
 }
 
-type known struct {
+// state is what a Set knows of one entry.
+type state struct {
 	peer   *wire.Peer
 	listed bool
-	// spoke is whether the entry has spoken itself; others told of it otherwise.
-	spoke bool
-	heard time.Time
+	// heardDirectly is whether a message came from the entry itself, and not only a report of
+	// it by others.
+	heardDirectly bool
+	heard         time.Time
 }
 
-// Listed takes in the platform's list. An empty list is no news.
+// Listed records the platform's list. An empty list carries no information and is ignored.
 func (s *Set) Listed(now time.Time, peers []*wire.Peer) {
 	if len(peers) == 0 {
 		return
 	}
-	for _, k := range s.known {
+	for _, k := range s.state {
 		k.listed = false
 	}
 	for _, p := range peers {
@@ -43,75 +44,76 @@
 		k.listed = true
 	}
 	s.Expire(now)
-	s.publish()
+	s.rebuild()
 }
 
-// Heard takes in an entry that has spoken itself.
+// Heard records a message from an entry itself.
 func (s *Set) Heard(now time.Time, p *wire.Peer) {
 	k := s.add(p)
-	fresh := !k.spoke
-	k.spoke = true
+	first := !k.heardDirectly
+	k.heardDirectly = true
 	k.heard = now
-	if fresh {
-		s.publish()
+	if first {
+		s.rebuild()
 	}
 }
 
-// Told takes in an entry that another has told of. It is not passed on until it
-// has spoken itself: two processes cannot keep a dead one alive by telling each
-// other of it.
+// Told records an entry reported by another one. Shared leaves the entry out until a message
+// comes from the entry itself: otherwise two processes could keep a dead entry alive by
+// reporting it to each other.
 func (s *Set) Told(now time.Time, p *wire.Peer) {
-	if _, old := s.known[p.GetAddress()]; old {
+	if _, old := s.state[p.GetAddress()]; old {
 		return
 	}
 	s.add(p).heard = now
-	s.publish()
+	s.rebuild()
 }
 
-// Expire forgets entries that are not on the list and have been silent.
+// Expire removes entries that are not on the list and have not been heard of for longer than
+// Keep.
 func (s *Set) Expire(now time.Time) {
 	changed := false
-	for address, k := range s.known {
+	for address, k := range s.state {
 		if !k.listed && now.Sub(k.heard) > s.Keep {
-			delete(s.known, address)
+			delete(s.state, address)
 			changed = true
 		}
 	}
 	if changed {
-		s.publish()
+		s.rebuild()
 	}
 }
 
-// All returns the entries, sorted by address. The slice must not be changed.
+// All returns the entries, sorted by address. The caller must not modify the slice.
 func (s *Set) All() []*wire.Peer {
 	return s.all
 }
 
-// Shared returns the entries to tell others of: those on the list, and those
-// that have spoken themselves. The slice must not be changed.
+// Shared returns the entries to report to others, sorted by address: those on the list, and
+// those heard directly. The caller must not modify the slice.
 func (s *Set) Shared() []*wire.Peer {
 	return s.shared
 }
 
-func (s *Set) add(p *wire.Peer) *known {
-	if s.known == nil {
-		s.known = make(map[string]*known)
+func (s *Set) add(p *wire.Peer) *state {
+	if s.state == nil {
+		s.state = make(map[string]*state)
 	}
-	k := s.known[p.GetAddress()]
+	k := s.state[p.GetAddress()]
 	if k == nil {
-		k = new(known)
-		s.known[p.GetAddress()] = k
+		k = new(state)
+		s.state[p.GetAddress()] = k
 	}
 	k.peer = p
 	return k
 }
 
-// publish makes the slices anew.
-func (s *Set) publish() {
+// rebuild replaces the slices that All and Shared return.
+func (s *Set) rebuild() {
 	var all, shared []*wire.Peer
-	for _, k := range s.known {
+	for _, k := range s.state {
 		all = append(all, k.peer)
-		if k.listed || k.spoke {
+		if k.listed || k.heardDirectly {
 			shared = append(shared, k.peer)
 		}
 	}
--- a/decide/member/set_test.go
+++ b/decide/member/set_test.go
@@ -24,7 +24,7 @@
 	return all
 }
 
-func TestListAndWordOfMouth(t *testing.T) {
+func TestListedHeardAndReportedEntries(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := member.Set{Keep: keep}
 	s.Listed(now, []*wire.Peer{peer("b"), peer("a")})
@@ -34,7 +34,7 @@
 	require.Equal(t, []string{"a", "b", "c", "d"}, addresses(s.All()))
 	require.Equal(t, []string{"a", "b", "c"}, addresses(s.Shared()))
 	s.Listed(now, nil)
-	require.Len(t, s.All(), 4, "an empty list is no news")
+	require.Len(t, s.All(), 4, "an empty list changes nothing")
 	later := now.Add(keep + time.Second)
 	s.Heard(later, peer("c"))
 	s.Expire(later)
@@ -43,8 +43,8 @@
 	require.Equal(t, []string{"a", "c"}, addresses(s.All()))
 }
 
-// Two processes that tell each other of a third which has died forget it.
-func TestDeadEntryIsNotKeptAliveByTelling(t *testing.T) {
+// Two processes that report a dead entry to each other still expire it.
+func TestReportsDoNotKeepADeadEntryAlive(t *testing.T) {
 	now := time.Unix(1000, 0)
 	x, y := member.Set{Keep: keep}, member.Set{Keep: keep}
 	x.Heard(now, peer("dead"))
