--- a/decide/departure/departure.go
+++ b/decide/departure/departure.go
@@ -1,37 +1,39 @@
-// Package departure describes endpoints that take no new work any more.
+// Package departure defines Departure, which marks an endpoint as taking no new work. Covers
+// applies a departure to an endpoint, and With combines two departures of the same one.
 package departure
 
 import "github.com/grademill/grademill/decide/endpoint"
 
-// Departure says that one life of an endpoint takes no new work. It is immutable; the zero
-// Departure covers nothing.
+// Departure marks one incarnation of an endpoint as taking no new work. It is immutable; the
+// zero Departure covers nothing.
 type Departure struct {
-	// Endpoint is the endpoint's ID, and Born the life as in endpoint.Endpoint.
+	// Endpoint is the endpoint's ID, and Born the incarnation's start as in endpoint.Endpoint.
 	Endpoint string
 	Born     int64
-	// Announced is set when the endpoint has said that it leaves, which it does not take back.
-	// Otherwise its record has gone, and a later record brings it back.
+	// Announced is set when the endpoint itself has announced that it leaves, which is final.
+	// Otherwise its record has been removed, and a later record makes it available again.
 	Announced bool
-	// Revision is that of the store at which the record said so or went, 0 when the store had no
-	// part in it.
+	// Revision is the store's revision at which the record announced the departure or was
+	// removed, 0 when the departure did not come from the store.
 	Revision uint64
 }
 
-// Covers reports whether an endpoint takes no new work, by a record of a revision.
+// Covers reports whether an endpoint, known from a record of the given revision, takes no new
+// work.
 func (d Departure) Covers(e endpoint.Endpoint, revision uint64) bool {
-	if e.ID != d.Endpoint || e.Follows(d.life()) {
+	if e.ID != d.Endpoint || e.Follows(d.incarnation()) {
 		return false
 	}
 	return d.Announced || revision < d.Revision
 }
 
-// With returns what is known after another departure of the same endpoint: of two lives the later
-// one counts.
+// With combines two departures of the same endpoint. The one of the later incarnation takes
+// precedence.
 func (d Departure) With(other Departure) Departure {
 	switch {
-	case d == Departure{} || other.life().Follows(d.life()):
+	case d == Departure{} || other.incarnation().Follows(d.incarnation()):
 		return other
-	case d.life().Follows(other.life()):
+	case d.incarnation().Follows(other.incarnation()):
 		return d
 	}
 	d.Born = max(d.Born, other.Born)
@@ -40,7 +42,7 @@
 	return d
 }
 
-// life returns the life that departs.
-func (d Departure) life() endpoint.Endpoint {
+// incarnation returns the departing incarnation.
+func (d Departure) incarnation() endpoint.Endpoint {
 	return endpoint.Endpoint{ID: d.Endpoint, Born: d.Born}
 }
--- a/decide/departure/departure_test.go
+++ b/decide/departure/departure_test.go
@@ -18,14 +18,14 @@
 		revision uint64
 		covers   bool
 	}{
-		"no departure":                      {departure.Departure{}, endpoint.Endpoint{ID: "a"}, 1, false},
-		"another endpoint":                  {announced, endpoint.Endpoint{ID: "b", Born: 5}, 1, false},
-		"record from before it went":        {gone, endpoint.Endpoint{ID: "a", Born: 5}, 8, true},
-		"record that brings it back":        {gone, endpoint.Endpoint{ID: "a", Born: 5}, 10, false},
-		"record from after an announcement": {announced, endpoint.Endpoint{ID: "a", Born: 5}, 10, true},
-		"later life":                        {announced, endpoint.Endpoint{ID: "a", Born: 6}, 10, false},
-		"former life":                       {announced, endpoint.Endpoint{ID: "a", Born: 4}, 10, true},
-		"life that is not told":             {announced, endpoint.Endpoint{ID: "a"}, 10, true},
+		"no departure":                         {departure.Departure{}, endpoint.Endpoint{ID: "a"}, 1, false},
+		"another endpoint":                     {announced, endpoint.Endpoint{ID: "b", Born: 5}, 1, false},
+		"record from before its removal":       {gone, endpoint.Endpoint{ID: "a", Born: 5}, 8, true},
+		"record that makes it available again": {gone, endpoint.Endpoint{ID: "a", Born: 5}, 10, false},
+		"record from after an announcement":    {announced, endpoint.Endpoint{ID: "a", Born: 5}, 10, true},
+		"later incarnation":                    {announced, endpoint.Endpoint{ID: "a", Born: 6}, 10, false},
+		"former incarnation":                   {announced, endpoint.Endpoint{ID: "a", Born: 4}, 10, true},
+		"unreported incarnation":               {announced, endpoint.Endpoint{ID: "a"}, 10, true},
 	} {
 		assert.Equal(t, c.covers, c.d.Covers(c.e, c.revision), name)
 	}
