--- a/decide/throttle/throttle.go
+++ b/decide/throttle/throttle.go
@@ -1,5 +1,5 @@
-// Package throttle decides whether a gateway may send an endpoint a request now, by what the
-// endpoint has said of the requests that it takes.
+// Package throttle decides whether a gateway may send a request to an endpoint now, given the
+// limits, backoff periods and shutdown notices in the endpoint's answers.
 package throttle
 
 import (
@@ -9,233 +9,235 @@
 )
 
 const (
-	// LeastLimit is the least limit that counts, in requests a second: an endpoint that names
-	// less gets one request in ten seconds, whose answer tells when it takes more.
+	// LeastLimit is the lowest limit in effect, in requests per second: an endpoint that states
+	// less gets one request in ten seconds, whose answer tells when its limit rises.
 	LeastLimit = 0.1
-	// MaxRest bounds the rest that counts: an endpoint that needs more ends, and a
-	// mistaken year must not shut it out.
+	// MaxRest bounds the backoff period in effect. An endpoint that needs longer shuts down, and a
+	// Retry-After of a year, sent by mistake, must not exclude it.
 	MaxRest = 5 * time.Minute
-	// BurstSpan is the time for which a part of a limit that is not used is saved up. It is
-	// short beside the seconds over which endpoints count, and one request can always be saved.
+	// BurstSpan is the period over which a gateway accumulates its unused share of a limit. It is
+	// short compared with the seconds over which endpoints count, and always admits at least one
+	// request.
 	BurstSpan = time.Second
-	// returnSpan is the time within which gateways come back to an endpoint that names no limit
-	// any more, each at a time of its own, so that it is not driven into need again.
-	returnSpan = 2 * time.Second
-	// lateRest is by how much a rest is drawn out at most, in parts of itself, so that
-	// gateways do not all come back at once.
-	lateRest = 0.2
-	// trialWait is how long one request after a rest may stay without an answer before
-	// another one is tried.
-	trialWait = time.Second
-	// demandSpan is the time over which the requests are counted that would begin at the endpoint.
-	demandSpan = 2 * time.Second
-	// leastDemand is the least number of requests a second that counts as wanting some.
-	leastDemand = 0.01
-	// toldEnd is how long other gateways are told that a limit has ended: a few digests.
-	toldEnd = 3 * time.Second
+	// resumeSpread is the time over which the gateways stop enforcing a withdrawn limit, each at a
+	// random time, so that they do not overload the endpoint again.
+	resumeSpread = 2 * time.Second
+	// maxBackoffJitter is the largest extension of a backoff period, as a fraction of it, so that
+	// the gateways do not all resume at once.
+	maxBackoffJitter = 0.2
+	// trialTimeout is how long the first request after a backoff period may remain unanswered
+	// before the gateway sends another one.
+	trialTimeout = time.Second
+	// demandWindow is the time over which demand for the endpoint is averaged.
+	demandWindow = 2 * time.Second
+	// minDemand is the lowest rate that counts as demand, in requests per second.
+	minDemand = 0.01
+	// removalReportSpan is how long a gateway reports a withdrawn limit to its peers: long enough
+	// for several digests.
+	removalReportSpan = 3 * time.Second
 )
 
-// Hold is why an endpoint gets no request now.
+// Hold is the reason why an endpoint may not be sent a request now.
 type Hold string
 
-// The reasons.
+// Reasons to hold a request back.
 const (
-	// Free holds nothing off.
+	// Free means that a request may be sent.
 	Free    Hold = ""
 	Leaving Hold = "leaving"
 	Resting Hold = "rest"
 	Limited Hold = "limit"
 )
 
-// Throttle is what an endpoint has said of the requests that it takes, and what this gateway has
-// sent it since. The zero Throttle lets all pass. It is an immutable value: the With methods
-// return changed copies.
+// Throttle holds the limits that an endpoint has stated in its answers and the requests that this
+// gateway has sent it since. The zero Throttle admits all requests. It is an immutable value: the
+// With methods return changed copies.
 type Throttle struct {
-	// leaving is set for good: an endpoint that starts again has a usage of its own.
+	// leaving is never cleared: an endpoint that restarts has a throttle of its own.
 	leaving bool
-	// unclear is set once a header could not be read.
-	unclear bool
-	// limit is the newest word on a limit; the zero Limit while none was ever named.
+	// unreadable is set once a header of the endpoint could not be parsed.
+	unreadable bool
+	// limit is the latest limit known, zero if the endpoint has never stated one.
 	limit Limit
-	// share is the part of the limit that is this gateway's, in requests a second, 0 until it has
-	// been worked out.
+	// share is this gateway's share of the limit in requests per second, 0 until it is computed.
 	share float64
-	// saved are the requests that may go out at once, as of savedAt: at most what is saved up
-	// in BurstSpan, or one.
-	saved   float64
-	savedAt time.Time
-	// freeAt is when this gateway comes back after a limit has ended.
-	freeAt time.Time
-	// demand counts the requests that would begin at the endpoint while it names a limit.
+	// tokens is the number of requests that may be sent at once, as of tokensAt: at most the share
+	// accumulated in BurstSpan, or one.
+	tokens   float64
+	tokensAt time.Time
+	// resumesAt is when this gateway stops enforcing a withdrawn limit.
+	resumesAt time.Time
+	// demand is the rate of requests that would start at the endpoint while it states a limit.
 	demand rate.Meter
-	// wantedSince is since when there have been such requests.
-	wantedSince time.Time
-	// rest is until when it wants nothing, zero when it has not asked for rest, or has answered a
-	// request since that went out later. Until provenAt one such request is under way.
-	rest, provenAt time.Time
+	// demandSince is the time at which the demand began.
+	demandSince time.Time
+	// backoffUntil is the end of the backoff period, zero if the endpoint asked for none or has
+	// answered a request sent after the period. Until trialUntil one such request is in flight.
+	backoffUntil, trialUntil time.Time
 }
 
-// WithWord returns the throttle after an answer; luck, from 0 to 1, draws times apart that would
-// otherwise be the same at all gateways.
-func (t Throttle) WithWord(w Word, luck float64) Throttle {
+// WithWord returns the throttle after an answer. The jitter, from 0 to 1, spreads times that would
+// otherwise coincide on all gateways.
+func (t Throttle) WithWord(w Word, jitter float64) Throttle {
 	t.leaving = t.leaving || w.Leaving
-	t.unclear = t.unclear || w.Unclear != ""
+	t.unreadable = t.unreadable || w.Unclear != ""
 	if w.Limit > 0 {
-		t = t.WithLimit(Limit{Rate: w.Limit, At: w.Heard}, w.Heard, luck)
+		t = t.WithLimit(Limit{Rate: w.Limit, At: w.Heard}, w.Heard, jitter)
 	} else if t.Named() && w.Unclear == "" {
-		// Only an answer to what was sent after the limit was heard of is surely newer: answers
-		// overtake each other.
-		t = t.WithLimit(Limit{At: w.Sent}, w.Heard, luck)
+		// Answers can overtake each other, so only an answer to a request that was sent after the
+		// limit became known is certainly newer.
+		t = t.WithLimit(Limit{At: w.Sent}, w.Heard, jitter)
 	}
 	if w.Rest > 0 {
-		until := w.Heard.Add(w.Rest + time.Duration(luck*lateRest*float64(w.Rest)))
-		if until.After(t.rest) {
-			t.rest = until
+		until := w.Heard.Add(w.Rest + time.Duration(jitter*maxBackoffJitter*float64(w.Rest)))
+		if until.After(t.backoffUntil) {
+			t.backoffUntil = until
 		}
-		t.provenAt = time.Time{}
-	} else if !w.Sent.Before(t.rest) {
-		t.rest, t.provenAt = time.Time{}, time.Time{}
+		t.trialUntil = time.Time{}
+	} else if !w.Sent.Before(t.backoffUntil) {
+		t.backoffUntil, t.trialUntil = time.Time{}, time.Time{}
 	}
 	return t
 }
 
-// WithLimit returns the throttle after a word on the limit at now, unless a newer one is known.
-func (t Throttle) WithLimit(l Limit, now time.Time, luck float64) Throttle {
+// WithLimit returns the throttle after a report of the limit at now, unless it already holds a
+// newer one.
+func (t Throttle) WithLimit(l Limit, now time.Time, jitter float64) Throttle {
 	if !l.At.After(t.limit.At) || !l.Named() && !t.Named() {
 		return t
 	}
 	if !l.Named() {
-		t.freeAt = now.Add(time.Duration(luck * float64(returnSpan)))
+		t.resumesAt = now.Add(time.Duration(jitter * float64(resumeSpread)))
 	} else if !t.Named() {
-		t.share, t.saved, t.savedAt = 0, 0, now
-		t.demand = rate.Meter{Span: demandSpan}
+		t.share, t.tokens, t.tokensAt = 0, 0, now
+		t.demand = rate.Meter{Span: demandWindow}
 	}
 	t.limit = l
 	return t
 }
 
-// WithShare returns the throttle with this gateway's part of the limit as worked out at now, in
-// requests a second.
+// WithShare returns the throttle with this gateway's share of the limit as computed at now, in
+// requests per second.
 func (t Throttle) WithShare(share float64, now time.Time) Throttle {
-	t.saved, t.savedAt = t.savedUp(now), now
+	t.tokens, t.tokensAt = t.tokensAvailable(now), now
 	t.share = share
-	t.saved = min(t.saved, t.most())
+	t.tokens = min(t.tokens, t.maxTokens())
 	return t
 }
 
-// WithDemand returns the throttle after a request at now that would begin at the endpoint, whether
-// it may or not.
+// WithDemand returns the throttle after a request at now that would start at the endpoint, whether
+// or not it is admitted.
 func (t Throttle) WithDemand(now time.Time) Throttle {
-	if t.demand.PerSecond(now) < leastDemand && now.Sub(t.wantedSince) > demandSpan {
-		t.wantedSince = now
+	if t.demand.PerSecond(now) < minDemand && now.Sub(t.demandSince) > demandWindow {
+		t.demandSince = now
 	}
 	t.demand = t.demand.WithCount(now, 1)
 	return t
 }
 
-// WithRequest returns the throttle after a request that is sent at now.
+// WithRequest returns the throttle after a request was sent at now.
 func (t Throttle) WithRequest(now time.Time) Throttle {
-	if !t.rest.IsZero() {
-		t.provenAt = now.Add(trialWait)
+	if !t.backoffUntil.IsZero() {
+		t.trialUntil = now.Add(trialTimeout)
 	}
-	if t.limits(now) {
-		t.saved, t.savedAt = t.savedUp(now)-1, now
+	if t.limited(now) {
+		t.tokens, t.tokensAt = t.tokensAvailable(now)-1, now
 	}
 	return t
 }
 
-// Held returns why no request may go out at now, Free when one may.
+// Held returns why no request may be sent at now, or Free.
 func (t Throttle) Held(now time.Time) Hold {
 	switch {
 	case t.leaving:
 		return Leaving
-	case now.Before(t.rest) || now.Before(t.provenAt):
+	case now.Before(t.backoffUntil) || now.Before(t.trialUntil):
 		return Resting
-	case t.limits(now) && t.savedUp(now) < 1:
+	case t.limited(now) && t.tokensAvailable(now) < 1:
 		return Limited
 	}
 	return Free
 }
 
-// From returns when a request may go out at the earliest, as known at now; false when that is not
-// known.
+// From returns the earliest time at which a request may be sent, as known at now, or false if that
+// time is not known.
 func (t Throttle) From(now time.Time) (time.Time, bool) {
 	if t.leaving {
 		return time.Time{}, false
 	}
 	from := now
-	for _, until := range []time.Time{t.rest, t.provenAt} {
+	for _, until := range []time.Time{t.backoffUntil, t.trialUntil} {
 		if until.After(from) {
 			from = until
 		}
 	}
-	if !t.limits(now) {
+	if !t.limited(now) {
 		return from, true
 	}
 	if t.share <= 0 {
 		return time.Time{}, false
 	}
-	missing := max(1-t.savedUp(now), 0) / t.share
+	missing := max(1-t.tokensAvailable(now), 0) / t.share
 	if next := now.Add(time.Duration(missing * float64(time.Second))); next.After(from) {
 		from = next
 	}
 	return from, true
 }
 
-// Unclear reports whether a header of the endpoint could not be read.
-func (t Throttle) Unclear() bool { return t.unclear }
+// Unclear reports whether a header of the endpoint could not be parsed.
+func (t Throttle) Unclear() bool { return t.unreadable }
 
-// Named reports whether the endpoint names a limit, as far as is known.
+// Named reports whether the endpoint states a limit, as far as this gateway knows.
 func (t Throttle) Named() bool { return t.limit.Named() }
 
-// Limit returns the newest word on the limit.
+// Limit returns the latest limit known.
 func (t Throttle) Limit() Limit { return t.limit }
 
-// Share returns this gateway's part of the limit, in requests a second, 0 until it has been worked out.
+// Share returns this gateway's share of the limit in requests per second, 0 until it is computed.
 func (t Throttle) Share() float64 { return t.share }
 
-// Rest returns until when the endpoint wants nothing, zero when it has not asked for rest.
-func (t Throttle) Rest() time.Time { return t.rest }
+// Rest returns the end of the backoff period, zero if the endpoint asked for none.
+func (t Throttle) Rest() time.Time { return t.backoffUntil }
 
-// Demand returns the requests a second that would begin at the endpoint at now, 0 while it names no
+// Demand returns the rate of requests that would start at the endpoint at now, 0 while it states no
 // limit.
 func (t Throttle) Demand(now time.Time) float64 {
-	if d := t.demand.PerSecond(now); t.Named() && d >= leastDemand {
+	if d := t.demand.PerSecond(now); t.Named() && d >= minDemand {
 		return d
 	}
 	return 0
 }
 
-// Claim returns the demand as it counts for this gateway's part at now: only once it has been there
-// for so long that the other gateways know of it, and this one knows of theirs. Gateways that begin to
-// want something together would else each take itself to be the only one.
-func (t Throttle) Claim(now time.Time, known time.Duration) float64 {
-	if now.Sub(t.wantedSince) < known {
+// Claim returns the demand that counts towards this gateway's share at now. It is 0 until the
+// demand has lasted for the time settle, by which the gateways know each other's demand. Otherwise
+// each of several gateways whose demand begins together would take itself for the only one.
+func (t Throttle) Claim(now time.Time, settle time.Duration) float64 {
+	if now.Sub(t.demandSince) < settle {
 		return 0
 	}
 	return t.Demand(now)
 }
 
-// Tells reports whether other gateways are to be told at now what is known of the limit.
+// Tells reports whether this gateway reports the limit to its peers at now.
 func (t Throttle) Tells(now time.Time) bool {
-	return t.Named() || !t.limit.At.IsZero() && now.Sub(t.limit.At) < toldEnd
+	return t.Named() || !t.limit.At.IsZero() && now.Sub(t.limit.At) < removalReportSpan
 }
 
-// limits reports whether a limit is kept to at now.
-func (t Throttle) limits(now time.Time) bool {
-	return t.Named() || now.Before(t.freeAt)
+// limited reports whether a limit is enforced at now.
+func (t Throttle) limited(now time.Time) bool {
+	return t.Named() || now.Before(t.resumesAt)
 }
 
-// most returns how many requests may be saved up: none where this gateway has no part.
-func (t Throttle) most() float64 {
+// maxTokens returns how many requests may accumulate: none if this gateway has no share.
+func (t Throttle) maxTokens() float64 {
 	if t.share <= 0 {
 		return 0
 	}
 	return max(t.share*BurstSpan.Seconds(), 1)
 }
 
-// savedUp returns how many requests may go out at once at now.
-func (t Throttle) savedUp(now time.Time) float64 {
-	gained := t.share * max(now.Sub(t.savedAt), 0).Seconds()
-	return min(t.saved+gained, t.most())
+// tokensAvailable returns how many requests may be sent at once at now.
+func (t Throttle) tokensAvailable(now time.Time) float64 {
+	gained := t.share * max(now.Sub(t.tokensAt), 0).Seconds()
+	return min(t.tokens+gained, t.maxTokens())
 }
--- a/decide/throttle/word.go
+++ b/decide/throttle/word.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Word is what an endpoint says, with one answer, of the requests that it takes.
+// Word is the part of an answer in which an endpoint states what load it accepts.
 type Word struct {
-	// Limit is the number of requests a second that it takes from all gateways together, 0
-	// when it names none.
+	// Limit is the number of requests per second that the endpoint accepts from all gateways
+	// together, 0 if it states none.
 	Limit float64
-	// Rest is for how long it wants nothing from the gateway that it has turned away, 0 when
-	// it asks for no rest.
+	// Rest is the backoff period that the endpoint asks of a gateway whose request it has rejected,
+	// 0 if it asks for none.
 	Rest time.Duration
-	// Leaving is set when it is about to end.
+	// Leaving is set if the endpoint is about to shut down.
 	Leaving bool
-	// Unclear is the header that could not be read, shortened, empty when all could. What it
-	// would have said counts neither as said nor as not said.
+	// Unclear is the header that could not be parsed, shortened, empty if all were parsed. Its
+	// meaning counts neither as stated nor as absent.
 	Unclear string
-	// Sent is when the request went out that is answered, Heard when the answer came.
+	// Sent is when the request was sent, Heard when its answer arrived.
 	Sent, Heard time.Time
 }
