--- a/decide/retry/budget_test.go
+++ b/decide/retry/budget_test.go
@@ -9,7 +9,7 @@
 	"github.com/grademill/grademill/decide/retry"
 )
 
-func TestRetriesAreAShareOfFirstTries(t *testing.T) {
+func TestRetriesAreAShareOfFirstAttempts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := retry.Budget{Share: 0.1, Window: time.Minute}
 	require.False(t, b.Allow(now))
@@ -23,7 +23,7 @@
 		}
 	}
 	require.Equal(t, 10, allowed)
-	require.True(t, b.Allow(now.Add(2*time.Minute)) == false, "what is past does not count")
+	require.True(t, b.Allow(now.Add(2*time.Minute)) == false, "first attempts before the window do not count")
 }
 
 func TestReserve(t *testing.T) {
@@ -35,9 +35,9 @@
 	require.True(t, b.Allow(now.Add(time.Minute)))
 }
 
-// The bound holds for every span of the length of the window, wherever it
-// starts: with windows counted in halves, a burst late in one half and another
-// at the start of the next but one made twice the reserve within a window.
+// The bound must hold for every span as long as the window, wherever it starts. When retries were
+// counted in half windows, a burst late in one half and another at the start of the next but one
+// added up to twice the reserve within a window.
 func TestBoundHoldsForEverySpan(t *testing.T) {
 	const window, reserve = 10 * time.Second, 40
 	b := retry.Budget{Window: window, Reserve: reserve}
