--- a/decide/comeback/book.go
+++ b/decide/comeback/book.go
@@ -1,45 +1,45 @@
-// Package comeback decides when refused callers are told to come back.
+// Package comeback computes the Retry-After delays of rejected callers.
 package comeback
 
 import "time"
 
-// The figures of coming back.
+// Bounds on the Retry-After delays and on their rate.
 const (
-	// soonest is the least time away.
-	soonest = 500 * time.Millisecond
-	// share is the part of what is admitted that those who come back may add: they
-	// come beside the new requests, which the endpoints cannot take in full already.
-	share = 0.25
-	// leastRate is the rate at which callers come back while nothing is admitted, a
-	// second.
-	leastRate = 4
+	// minDelay is the shortest delay.
+	minDelay = 500 * time.Millisecond
+	// returnShare is the rate of returning callers as a fraction of the admission rate. They come
+	// in addition to new requests, which already exceed the capacity of the endpoints.
+	returnShare = 0.25
+	// minRate is the lowest rate of returning callers, per second, which applies while no request
+	// is admitted.
+	minRate = 4
 )
 
-// Book gives refused callers their times to come back, one after the other at the rate
-// at which there will be room for them: told the same time, they would come together and
-// be refused together. The zero Book is empty. It is not safe for concurrent use.
+// Book assigns rejected callers times to retry, spaced at the rate at which room becomes available:
+// callers with the same delay would arrive together and be rejected together. The zero Book is
+// ready to use. It is not safe for concurrent use.
 type Book struct {
-	// last is the time that was given last.
+	// last is the latest time assigned.
 	last time.Time
 }
 
-// Load is what a gateway sees of a service.
+// Load is a gateway's view of the load of a service.
 type Load struct {
-	// Admitted is the number of requests that get room in a second.
+	// Admitted is the rate of requests admitted, per second.
 	Admitted float64
-	// Lasts is how long requests hold their room, 0 while that is not known. Room that is
-	// found taken is still taken a moment later: of the callers that were told to come back
-	// after that long, 8 in 1,000 were refused again where 19 were of those told to come
-	// back after half a second (site with the smallest cards at 1.4 of its load).
+	// Lasts is the typical duration of a request, 0 if unknown. Slots found taken are usually still
+	// taken a moment later: of callers told to retry after the duration, 8 in 1,000 were rejected
+	// again, of those told to retry after half a second 19 (smallest cards at 1.4 times their
+	// capacity).
 	Lasts time.Duration
 }
 
-// Wait returns how long a caller that is refused at now is to stay away, at most most. Once
-// the times reach most they begin anew.
-func (b *Book) Wait(now time.Time, load Load, most time.Duration) time.Duration {
-	first := now.Add(min(max(load.Lasts, soonest), most))
-	next := b.last.Add(time.Duration(float64(time.Second) / max(share*load.Admitted, leastRate)))
-	if next.Before(first) || next.Sub(now) > most {
+// Wait returns the Retry-After delay of a caller rejected at now, at most maxDelay. Once the
+// assigned times exceed maxDelay, they start over.
+func (b *Book) Wait(now time.Time, load Load, maxDelay time.Duration) time.Duration {
+	first := now.Add(min(max(load.Lasts, minDelay), maxDelay))
+	next := b.last.Add(time.Duration(float64(time.Second) / max(returnShare*load.Admitted, minRate)))
+	if next.Before(first) || next.Sub(now) > maxDelay {
 		next = first
 	}
 	b.last = next
--- a/decide/comeback/book_test.go
+++ b/decide/comeback/book_test.go
@@ -9,9 +9,9 @@
 	"github.com/grademill/grademill/decide/comeback"
 )
 
-// Callers that are refused together come back one after the other, at a quarter of the
-// rate at which requests are admitted, and never later than they would.
-func TestCallersComeBackOneAfterTheOther(t *testing.T) {
+// Callers rejected together must be told to retry one after the other, at a quarter of the
+// admission rate, and never later than the maximum delay.
+func TestRetryTimesAreSpread(t *testing.T) {
 	var b comeback.Book
 	now := time.Unix(1000, 0)
 	perSecond := make(map[int]int)
@@ -22,29 +22,29 @@
 		perSecond[int(wait/time.Second)]++
 	}
 	for second := 1; second < 6; second++ {
-		require.InDelta(t, 30, perSecond[second], 2, second) // 165 over 5.5 s: the times began anew
+		require.InDelta(t, 30, perSecond[second], 2, second) // 165 over 5.5 s: the times started over
 	}
 }
 
-func TestTheFirstCallerComesBackSoon(t *testing.T) {
+func TestFirstCallerGetsMinimumDelay(t *testing.T) {
 	var b comeback.Book
 	now := time.Unix(1000, 0)
 	require.Equal(t, 500*time.Millisecond, b.Wait(now, comeback.Load{Admitted: 40}, 6*time.Second))
 	later := now.Add(time.Minute)
-	require.Equal(t, 500*time.Millisecond, b.Wait(later, comeback.Load{Admitted: 40}, 6*time.Second), "former times are over")
+	require.Equal(t, 500*time.Millisecond, b.Wait(later, comeback.Load{Admitted: 40}, 6*time.Second), "earlier times have passed")
 }
 
-// A caller whose time is short is not told to stay away for longer than it would.
-func TestShortPatience(t *testing.T) {
+// A caller with a short timeout must not be given a longer delay.
+func TestDelayIsWithinTheCallersTimeout(t *testing.T) {
 	var b comeback.Book
 	for range 20 {
 		require.LessOrEqual(t, b.Wait(time.Unix(1000, 0), comeback.Load{Lasts: 3 * time.Second}, 150*time.Millisecond), 150*time.Millisecond)
 	}
 }
 
-// Room that is taken is taken for as long as requests last: no caller is told to come back
-// sooner, and those that are refused together still come one after the other.
-func TestCallersStayAwayForAsLongAsRequestsLast(t *testing.T) {
+// Slots stay taken for about the duration of a request, so no caller may be told to retry sooner,
+// and callers rejected together must still retry one after the other.
+func TestDelayIsAtLeastTheRequestDuration(t *testing.T) {
 	var b comeback.Book
 	now := time.Unix(1000, 0)
 	load := comeback.Load{Admitted: 40, Lasts: 3 * time.Second}
