--- a/decide/patience/learned.go
+++ b/decide/patience/learned.go
@@ -1,41 +1,38 @@
-// Package patience tells callers that have come back from those that have just come, by
-// the time that they still have: some give a request less than its route does from the
-// start.
+// Package patience distinguishes returning callers from new ones by the time left until their
+// deadline. It learns the usual time, because some callers set a shorter deadline than their route.
 package patience
 
 import "slices"
 
-// The figures of learning.
+// Parameters of the estimate.
 const (
-	// window is the number of callers whose time is remembered: some seconds of a
-	// gateway's traffic.
+	// window is the number of callers remembered: a few seconds of a gateway's traffic.
 	window = 64
-	// odd is the part of them that may have had less than is usual, since some come back
-	// after a fault that this gateway knows nothing of.
-	odd = 0.06
-	// margin is how much less than usual a caller has that has come back, in parts of the
-	// route's time: half a second of 20, the least time that refused callers stay away.
+	// outlierShare is the fraction of them that may have had less time than usual, since some
+	// callers retry after a fault unknown to this gateway.
+	outlierShare = 0.06
+	// margin is how far below the usual time left a returning caller is, as a fraction of the
+	// route's timeout: half a second of 20 s, the shortest Retry-After delay.
 	margin = 0.02
 )
 
-// Learned is what callers have when they come first, in parts of the time that their
-// route gives. The zero Learned knows nothing. It is an immutable value.
+// Learned estimates the time that new callers have left, as a fraction of their route's timeout.
+// The zero Learned holds no data. It is an immutable value.
 type Learned struct {
-	// shares are those of the callers that came last, in a ring.
+	// shares is a ring of the latest callers' fractions.
 	shares [window]float32
-	// seen is the number of callers that were noted.
+	// seen is the number of callers recorded.
 	seen int
 }
 
-// WithShare returns what is learned once a caller has come first with a share.
+// WithShare returns the estimate after a new caller with the given fraction of time left.
 func (l Learned) WithShare(share float64) Learned {
 	l.shares[l.seen%window] = float32(share)
 	l.seen++
 	return l
 }
 
-// Least returns the least share that callers usually have when they come first, 1 while
-// nothing is known.
+// Least returns the lowest fraction that new callers usually have left, 1 without data.
 func (l Learned) Least() float64 {
 	n := min(l.seen, window)
 	if n == 0 {
@@ -43,10 +40,10 @@
 	}
 	sorted := l.shares // a copy
 	slices.Sort(sorted[:n])
-	return float64(sorted[int(odd*float64(n))])
+	return float64(sorted[int(outlierShare*float64(n))])
 }
 
-// Returned reports whether a caller with a share has come back.
+// Returned reports whether a caller with the given fraction of time left is a returning one.
 func (l Learned) Returned(share float64) bool {
 	return share < l.Least()-margin
 }
--- a/decide/patience/learned_test.go
+++ b/decide/patience/learned_test.go
@@ -9,10 +9,10 @@
 	"github.com/grademill/grademill/decide/patience"
 )
 
-// Where all callers give as much time as the route, one with less has come back.
-func TestWholeTime(t *testing.T) {
+// If all callers use the route's full timeout, a caller with less time left is a returning one.
+func TestFullTimeouts(t *testing.T) {
 	var l patience.Learned
-	require.True(t, l.Returned(0.9), "nothing is known of callers that give less")
+	require.True(t, l.Returned(0.9), "no data on callers with shorter timeouts")
 	for range 200 {
 		l = l.WithShare(1)
 	}
@@ -20,28 +20,28 @@
 	require.True(t, l.Returned(0.97))
 }
 
-// Where callers give between 0.85 and 1 of the route's time, few of those that have just
-// come are taken for others, and those that stayed away for long are told.
-func TestPartOfTheTime(t *testing.T) {
+// If callers start with 0.85 to 1 of the route's timeout, few new ones may be misjudged, and
+// returning callers with a long delay must be recognized.
+func TestVaryingTimeouts(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	first := func() float64 { return 0.85 + 0.15*random.Float64() }
 	var l patience.Learned
 	for range 64 {
 		l = l.WithShare(first())
 	}
-	wrong := 0
+	misjudged := 0
 	for range 1000 {
 		if l.Returned(first()) {
-			wrong++
+			misjudged++
 		}
 	}
-	require.Less(t, wrong, 30)
+	require.Less(t, misjudged, 30)
 	require.True(t, l.Returned(0.8))
 }
 
-// A few callers that came back after a fault do not move what is usual, and what is
-// usual follows a change of the work.
-func TestFollowsTheWork(t *testing.T) {
+// A few callers that retry after a fault must not move the estimate, and the estimate must follow a
+// change in the callers' timeouts.
+func TestFollowsChangesAndIgnoresOutliers(t *testing.T) {
 	var l patience.Learned
 	for i := range 64 {
 		share := 1.0
