--- a/decide/urgency/urgency_test.go
+++ b/decide/urgency/urgency_test.go
@@ -8,7 +8,7 @@
 	"github.com/grademill/grademill/decide/urgency"
 )
 
-func TestOf(t *testing.T) {
+func TestUrgencyOfRequests(t *testing.T) {
 	few, many := urgency.Load{Admitted: 40, Returning: 8}, urgency.Load{Admitted: 40, Returning: 24}
 	for _, c := range []struct {
 		name            string
@@ -17,10 +17,10 @@
 		want            urgency.Urgency
 	}{
 		{"a new request", few, false, false, urgency.New},
-		{"a new request while many come back", many, false, false, urgency.New},
-		{"one that came back, as few do", few, false, true, urgency.Returned},
-		{"one that came back, as too many do", many, false, true, urgency.Late},
-		{"one that came back before anything is known", urgency.Load{}, false, true, urgency.Returned},
+		{"a new request while many callers return", many, false, false, urgency.New},
+		{"a returning caller among few", few, false, true, urgency.Returned},
+		{"a returning caller among too many", many, false, true, urgency.Late},
+		{"a returning caller without load data", urgency.Load{}, false, true, urgency.Returned},
 		{"one that has been sent", many, true, true, urgency.Begun},
 	} {
 		require.Equal(t, c.want, c.load.Of(c.begun, c.returned), c.name)
