--- a/decide/unseen/flow_test.go
+++ b/decide/unseen/flow_test.go
@@ -11,56 +11,56 @@
 	"github.com/grademill/grademill/decide/unseen"
 )
 
-// The room of the model, and those that share it.
+// The simulated slots and the gateways that share them.
 const (
-	slots  = 192
-	takers = 8
-	told   = 150 * time.Millisecond
-	lasts  = 3 * time.Second
-	look   = 15 * time.Millisecond
-	span   = 60 * time.Second
-	// load is what comes, in parts of what the room serves, and waits for so long.
-	load     = 1.3
-	patience = 300 * time.Millisecond
+	slots           = 192
+	gateways        = 8
+	reportInterval  = 150 * time.Millisecond
+	requestDuration = 3 * time.Second
+	checkInterval   = 15 * time.Millisecond
+	span            = 60 * time.Second
+	// load is the arrival rate as a multiple of the capacity. Requests wait for queueTimeout.
+	load         = 1.3
+	queueTimeout = 300 * time.Millisecond
 )
 
-// taker is a gateway whose requests take a slot at the first look that finds one.
-type taker struct {
+// gateway is a simulated gateway. A queued request takes a free slot at the next check.
+type gateway struct {
 	ends []time.Duration
-	// waiting are the times at which its requests came.
+	// waiting holds the arrival times of the queued requests.
 	waiting []time.Duration
-	// known is what it last heard of each other one.
-	known [takers]int
+	// reported holds the latest report of each peer.
+	reported [gateways]int
 }
 
-// fill lets the takers share the room, each reckoning with a part unseen, and returns by
-// how much they overfill it on average, and what part of it they use.
-func fill(part float64) (over, used float64) {
+// simulate runs the gateways, each of which adds a margin to the reports of its peers. It returns
+// the average number of requests in excess of the slots, and the fraction of the slots in use.
+func simulate(margin float64) (over, used float64) {
 	random := rand.New(rand.NewPCG(3, 4))
-	var all [takers]taker
-	looks := 0
-	for now := time.Duration(0); now < span; now += look {
+	var all [gateways]gateway
+	checks := 0
+	for now := time.Duration(0); now < span; now += checkInterval {
 		for i := range all {
 			t := &all[i]
 			t.ends = slices.DeleteFunc(t.ends, func(end time.Duration) bool { return end <= now })
 			others := 0
-			for _, n := range t.known {
+			for _, n := range t.reported {
 				others += n
 			}
-			if random.Float64() < load*slots/takers*float64(look)/float64(lasts) {
+			if random.Float64() < load*slots/gateways*float64(checkInterval)/float64(requestDuration) {
 				t.waiting = append(t.waiting, now)
 			}
-			t.waiting = slices.DeleteFunc(t.waiting, func(came time.Duration) bool { return now-came > patience })
-			for len(t.waiting) > 0 && float64(len(t.ends))+(1+part)*float64(others) < slots {
+			t.waiting = slices.DeleteFunc(t.waiting, func(arrival time.Duration) bool { return now-arrival > queueTimeout })
+			for len(t.waiting) > 0 && float64(len(t.ends))+(1+margin)*float64(others) < slots {
 				t.waiting = t.waiting[1:]
-				t.ends = append(t.ends, now+time.Duration(random.ExpFloat64()*float64(lasts)))
+				t.ends = append(t.ends, now+time.Duration(random.ExpFloat64()*float64(requestDuration)))
 			}
 		}
 		for i := range all {
-			if (now+time.Duration(i)*told/takers)%told < look { // its word goes out
+			if (now+time.Duration(i)*reportInterval/gateways)%reportInterval < checkInterval { // sends its report
 				for j := range all {
 					if j != i {
-						all[j].known[i] = len(all[i].ends)
+						all[j].reported[i] = len(all[i].ends)
 					}
 				}
 			}
@@ -68,7 +68,7 @@
 		if now < span/2 {
 			continue
 		}
-		looks++
+		checks++
 		taken := 0
 		for i := range all {
 			taken += len(all[i].ends)
@@ -76,21 +76,21 @@
 		over += float64(max(taken-slots, 0))
 		used += float64(min(taken, slots)) / slots
 	}
-	return over / float64(looks), used / float64(looks)
+	return over / float64(checks), used / float64(checks)
 }
 
-// Those that reckon with what they have not been told of overfill the room by less, and
-// still use nearly all of it.
-func TestRoomIsNotOverfilled(t *testing.T) {
-	part := unseen.Flow{Told: told, Lasts: lasts}.Part()
-	before, _ := fill(0)
-	after, used := fill(part)
+// Gateways that add the estimate of unreported requests must overfill the slots less, and still use
+// nearly all of them.
+func TestSlotsAreNotOverfilled(t *testing.T) {
+	margin := unseen.Flow{Told: reportInterval, Lasts: requestDuration}.Part()
+	before, _ := simulate(0)
+	after, used := simulate(margin)
 	t.Logf("over by %.1f, before %.1f; used %.3f", after, before, used)
 	require.Less(t, after, before/3)
 	require.Greater(t, used, 0.93)
 }
 
-func TestNothingIsKnown(t *testing.T) {
-	require.Zero(t, unseen.Flow{Told: told}.Part())
+func TestUnknownAndShortDurations(t *testing.T) {
+	require.Zero(t, unseen.Flow{Told: reportInterval}.Part())
 	require.InDelta(t, 1, unseen.Flow{Told: time.Minute, Lasts: time.Second}.Part(), 1e-9)
 }
