--- a/decide/fair/queue.go
+++ b/decide/fair/queue.go
@@ -1,19 +1,19 @@
-// Package fair queues work so that teams share by weight.
+// Package fair queues work so that teams share capacity in proportion to their weights.
 package fair
 
 import "container/heap"
 
-// Item is one piece of queued work.
+// Item is a unit of queued work.
 type Item[T any] struct {
-	// Team is who the work is for.
+	// Team is the team that the work is for.
 	Team string
-	// Weight is the team's share; at least 1 is used.
+	// Weight is the team's weight. A value below 1 counts as 1.
 	Weight float64
-	// Cost is the work's size, such as tokens.
+	// Cost is the size of the work, such as its number of tokens.
 	Cost float64
-	// Priority orders classes: a higher one goes first, before any share.
+	// Priority is the work's class. Items of a higher class go first, whatever the teams' shares.
 	Priority int
-	// Value is what the caller queued.
+	// Value is the caller's payload.
 	Value T
 
 	start float64
@@ -21,10 +21,10 @@
 	index int
 }
 
-// Queue is a bounded start-time fair queue. The zero Queue holds nothing and
-// refuses everything; set Max first. It is not safe for concurrent use.
+// Queue is a bounded start-time fair queue. The zero Queue rejects all items; set Max first. It is
+// not safe for concurrent use.
 type Queue[T any] struct {
-	// Max is the number of items held at most.
+	// Max is the maximum number of items.
 	Max int
 
 	items   itemHeap[T]
@@ -39,7 +39,7 @@
 	return len(q.items)
 }
 
-// Cost returns the cost of all items of a priority or a higher one.
+// Cost returns the total cost of the items of the given priority or a higher one.
 func (q *Queue[T]) Cost(priority int) float64 {
 	sum := 0.0
 	for _, it := range q.items {
@@ -50,9 +50,8 @@
 	return sum
 }
 
-// Push queues it. When the queue is full the item that is furthest behind its
-// share is displaced: Push returns it, or it itself, and false. It returns
-// nil and true when nothing had to go.
+// Push adds it to the queue. If the queue is full, Push removes the item that would be served last,
+// which may be it itself, and returns that item and false. Otherwise it returns nil and true.
 func (q *Queue[T]) Push(it *Item[T]) (displaced *Item[T], ok bool) {
 	if q.Max <= 0 {
 		return it, false
@@ -86,7 +85,7 @@
 	return worst
 }
 
-// Peek returns the item that Pop would return, or nil.
+// Peek returns the item that Pop would return, or nil if the queue is empty.
 func (q *Queue[T]) Peek() *Item[T] {
 	if len(q.items) == 0 {
 		return nil
@@ -94,31 +93,32 @@
 	return q.items[0]
 }
 
-// Pop removes and returns the next item, or nil.
+// Pop removes and returns the next item, or nil if the queue is empty.
 func (q *Queue[T]) Pop() *Item[T] {
 	if len(q.items) == 0 {
 		return nil
 	}
 	it := heap.Pop(&q.items).(*Item[T])
 	q.clock = max(q.clock, it.start)
-	q.forget(it)
+	q.dropIdleTeams(it)
 	return it
 }
 
-// Remove takes it out of the queue; it reports false when it is not queued.
+// Remove removes it from the queue. It reports false if the item is not queued.
 func (q *Queue[T]) Remove(it *Item[T]) bool {
 	if it.index < 0 || it.index >= len(q.items) || q.items[it.index] != it {
 		return false
 	}
 	heap.Remove(&q.items, it.index)
 	q.finish[it.Team] -= it.Cost / max(it.Weight, 1)
-	q.forget(it)
+	q.dropIdleTeams(it)
 	return true
 }
 
-// forget drops the team's state once its queue is empty and its share is no
-// longer ahead of the clock, so that memory is bounded by the queue.
-func (q *Queue[T]) forget(it *Item[T]) {
+// dropIdleTeams updates the count of the item's team. Once the team has no queued items, it drops
+// the state of all idle teams whose share is no longer ahead of the clock, so that the queue's
+// length bounds the memory.
+func (q *Queue[T]) dropIdleTeams(it *Item[T]) {
 	q.counts[it.Team]--
 	if q.counts[it.Team] > 0 {
 		return
--- a/decide/fair/queue_test.go
+++ b/decide/fair/queue_test.go
@@ -9,8 +9,8 @@
 	"github.com/grademill/grademill/decide/fair"
 )
 
-// serve pushes items of cost 1 for teams with weights and returns how many of
-// the first n served were each team's.
+// serve pushes items of cost 1 for teams with the given weights, and returns how many of the first
+// n items served belong to each team.
 func serve(t *testing.T, weights map[string]float64, each, n int) map[string]int {
 	q := fair.Queue[int]{Max: each * len(weights)}
 	for i := range each {
@@ -53,7 +53,7 @@
 	require.Equal(t, "first", q.Pop().Value)
 }
 
-func TestFullQueueDisplacesWhoIsFurthestBehind(t *testing.T) {
+func TestFullQueueDisplacesItemServedLast(t *testing.T) {
 	q := fair.Queue[int]{Max: 4}
 	for i := range 4 {
 		_, ok := q.Push(&fair.Item[int]{Team: "flood", Weight: 1, Cost: 1, Value: i})
@@ -95,7 +95,7 @@
 	// Output: a1 b1 a2 a3
 }
 
-// Under overload from all teams alike a small queue serves them by weight.
+// Under overload from all teams alike a small queue must serve them by weight.
 func TestOverloadedTeamsShareByWeight(t *testing.T) {
 	const small, overload, rounds = 8, 3, 20_000
 	q := fair.Queue[int]{Max: 64}
@@ -114,7 +114,8 @@
 	require.InDelta(t, 4, ratio, 0.2, served)
 }
 
-// The cost of what is ahead of a priority follows the queue, also what is removed from it.
+// The cost of the items of a priority and above must follow all changes of the queue, including
+// removals.
 func TestCostOfAPriorityAndAbove(t *testing.T) {
 	q := &fair.Queue[int]{Max: 3}
 	items := []*fair.Item[int]{{Team: "a", Cost: 0.5, Priority: 1}, {Team: "a", Cost: 2, Priority: 2}, {Team: "b", Cost: 4, Priority: 3}}
