--- a/decide/once/table.go
+++ b/decide/once/table.go
@@ -1,65 +1,61 @@
-// Package once lets each call run at most once beside an endpoint, however
-// often and by whomever it is sent.
+// Package once ensures that each call runs at most once on an endpoint, regardless of how often and
+// by which gateways it is sent.
 package once
 
 import "time"
 
-// Key is the hash of a team's idempotency key.
+// Key is the hash of a team and its idempotency key.
 type Key [16]byte
 
-// Verdict is what to do with a call.
+// Verdict is the decision on a call.
 type Verdict int
 
-// The verdicts.
+// Verdicts of a Table.
 const (
-	// Start the call now; nobody else will.
+	// Start means that the caller must start the call; it is the only one told so.
 	Start Verdict = iota
-	// Wait for the call that is running, then use its reply.
+	// Wait means that the call is running; the caller waits for its reply.
 	Wait
-	// Finished calls have a stored reply.
+	// Finished means that the call has a stored reply.
 	Finished
-	// Barred calls were settled as not run and will never start.
+	// Barred means that the call was settled as not run and will never start.
 	Barred
-	// Lost calls were started and ended without a reply that can be given.
+	// Lost means that the call started and ended without a usable reply.
 	Lost
-	// Full means that no more calls can be remembered: nothing was started.
+	// Full means that the table holds no more calls; nothing was started.
 	Full
-	// Forgotten means that the call may have run so long ago that nothing of it
-	// is held.
+	// Forgotten means that the call may have run so long ago that the table no longer holds it.
 	Forgotten
 )
 
-// Ticket names a call: the key that it may run once for, the claim that allows
-// it, and the agent's epoch when the claim was made.
+// Ticket identifies a call: its key, the claim that allows it, and the agent's epoch when the claim
+// was made.
 type Ticket struct {
 	Key   Key
 	Claim string
 	Epoch uint64
 }
 
-// Table remembers calls for as long as they may be asked for again. Time is cut
-// into epochs by the agent's own clock: a call starts only within two epochs of
-// its claim, so that one which comes late, after its key has been forgotten,
-// cannot start. It is not safe for concurrent use. Set the exported fields
-// first.
+// Table records calls for as long as they may be repeated. The agent's own clock divides time into
+// epochs. A call starts only within two epochs of its claim, so that a delayed one cannot start
+// after its key has been dropped. Set the exported fields before use. A Table is not safe for
+// concurrent use.
 type Table[R any] struct {
-	// Start is when epoch 0 began, and Epoch the length of one.
+	// Start is the beginning of epoch 0, Epoch the length of an epoch.
 	Start time.Time
 	Epoch time.Duration
-	// Max is the number of keys held at most. A key that is remembered is never
-	// dropped early to make room.
+	// Max is the maximum number of keys. A key is never dropped early to make room.
 	Max int
-	// Keep is how long a key is held after its last call ended; it is longer
-	// than a few epochs.
+	// Keep is how long a key is held after its last call ended. It must be longer than a few
+	// epochs.
 	Keep time.Duration
 
 	keys map[Key]*entry[R]
-	ends []ending // in the order of their time
+	ends []ending // in ascending order of time
 }
 
-// window is the number of epochs after that of its claim in which a call may
-// still start.
-const window = 2
+// startWindow is the number of epochs after that of its claim in which a call may still start.
+const startWindow = 2
 
 type entry[R any] struct {
 	claim  string // the claim that started the call, empty when none has
@@ -74,23 +70,23 @@
 	at  time.Time
 }
 
-// Now returns the epoch at now.
+// Now returns the epoch at the given time.
 func (t *Table[R]) Now(now time.Time) uint64 {
 	return uint64(now.Sub(t.Start) / t.Epoch)
 }
 
-// late reports whether a call may not start any more.
+// late reports whether a call with a claim of an epoch may no longer start.
 func (t *Table[R]) late(now time.Time, epoch uint64) bool {
-	return t.Now(now) > epoch+window
+	return t.Now(now) > epoch+startWindow
 }
 
-// forgotten reports whether the key of a call that ran may have been dropped.
+// forgotten reports whether the table may have dropped the key of a call that ran.
 func (t *Table[R]) forgotten(now time.Time, epoch uint64) bool {
 	return t.Now(now) >= epoch+uint64(t.Keep/t.Epoch)
 }
 
-// Begin asks whether the call of a ticket may start. A key whose call has
-// started answers the same to every claim.
+// Begin decides whether the call of a ticket may start. Once a call of the key has started, the
+// verdict is the same for every claim.
 func (t *Table[R]) Begin(now time.Time, k Ticket) Verdict {
 	t.expire(now)
 	e := t.keys[k.Key]
@@ -111,18 +107,18 @@
 	return Start
 }
 
-// Finish stores the reply of a call that was started.
+// Finish stores the reply of a started call.
 func (t *Table[R]) Finish(now time.Time, key Key, reply R) {
 	t.end(now, key, Finished, reply)
 }
 
-// Lose notes that a call was started and its end is not known.
+// Lose records that a started call ended with an unknown result.
 func (t *Table[R]) Lose(now time.Time, key Key, reply R) {
 	t.end(now, key, Lost, reply)
 }
 
-// Undo notes that a call that was to start has not reached the endpoint. The
-// claim is barred; another claim may start the key.
+// Undo records that a call that was to start did not reach the endpoint. It bars the claim; another
+// claim may start the key.
 func (t *Table[R]) Undo(now time.Time, k Ticket) {
 	if e := t.keys[k.Key]; e != nil && e.claim == k.Claim {
 		e.claim = ""
@@ -130,8 +126,8 @@
 	}
 }
 
-// Settle bars the call of a ticket unless it has started, and returns what
-// became of it: Barred, Wait, Finished, Lost, Full or Forgotten.
+// Settle bars the call of a ticket unless it has started, and returns its state: Barred, Wait,
+// Finished, Lost, Full or Forgotten.
 func (t *Table[R]) Settle(now time.Time, k Ticket) Verdict {
 	t.expire(now)
 	e := t.keys[k.Key]
@@ -153,7 +149,7 @@
 	return Barred
 }
 
-// Reply returns the stored reply of a key.
+// Reply returns the stored reply of a key, and false if there is none.
 func (t *Table[R]) Reply(key Key) (R, bool) {
 	e := t.keys[key]
 	if e == nil || e.ended.IsZero() {
@@ -200,7 +196,7 @@
 	t.ends = append(t.ends, ending{key, now})
 }
 
-// expire drops the keys whose time is up.
+// expire drops the keys that have been held for Keep since their last call ended.
 func (t *Table[R]) expire(now time.Time) {
 	n := 0
 	for n < len(t.ends) && now.Sub(t.ends[n].at) >= t.Keep {
--- a/decide/once/table_test.go
+++ b/decide/once/table_test.go
@@ -41,7 +41,7 @@
 	table := newTable(10)
 	require.Equal(t, once.Barred, table.Settle(start, ticket(1, "a", 0)))
 	require.Equal(t, once.Barred, table.Begin(start, ticket(1, "a", 0)))
-	require.Equal(t, once.Start, table.Begin(start, ticket(1, "b", 0)), "another claim may")
+	require.Equal(t, once.Start, table.Begin(start, ticket(1, "b", 0)), "another claim may start the key")
 }
 
 func TestUndoneCallMayStartUnderAnotherClaim(t *testing.T) {
@@ -52,8 +52,8 @@
 	require.Equal(t, once.Start, table.Begin(start, ticket(1, "b", 0)))
 }
 
-// A call that comes after its key has been forgotten must not start: the key
-// may have run meanwhile.
+// A call that arrives after its key has been dropped must not start: another call of the key may
+// have run meanwhile.
 func TestLateCallNeverStarts(t *testing.T) {
 	table := newTable(10)
 	table.Settle(start, ticket(1, "a", 0))
@@ -82,7 +82,7 @@
 	require.Equal(t, once.Start, table.Begin(later, ticket(2, "b", table.Now(later))))
 }
 
-// A call that runs for longer than keys are kept stays.
+// A call that runs for longer than keys are held must not be dropped.
 func TestRunningCallIsNotForgotten(t *testing.T) {
 	table := newTable(10)
 	require.Equal(t, once.Barred, table.Settle(start, ticket(1, "a", 0)))
