--- a/decide/order/fence.go
+++ b/decide/order/fence.go
@@ -1,33 +1,33 @@
-// Package order fences the orders to load models: a leader that has been
-// replaced, or that speaks to an earlier incarnation, is refused.
+// Package order fences the orders to load models: an agent refuses orders of a leader that has been
+// replaced, and orders addressed to an earlier incarnation.
 package order
 
 import "fmt"
 
-// Fence is what an agent remembers of the leaders that give orders. The zero Fence has
-// seen none. It is an immutable value.
+// Fence holds an agent's incarnation and the highest term of a leader known to it. The zero Fence
+// knows of no term. It is an immutable value.
 type Fence struct {
-	// Incarnation is the agent's own.
+	// Incarnation is that of the agent itself.
 	Incarnation uint64
-	// Term is the highest term seen; it never falls.
+	// Term is the highest term seen; it never decreases.
 	Term uint64
 }
 
-// StaleError is an order that came too late.
+// StaleError is the refusal of an outdated order.
 type StaleError struct {
-	// What is "term" or "incarnation".
+	// What is the outdated value: "term" or "incarnation".
 	What string
-	// Got is the order's, Have the fence's.
+	// Got is the order's value, Have the agent's.
 	Got, Have uint64
 }
 
-// Error returns what was stale.
+// Error returns the outdated value and the one in force.
 func (e *StaleError) Error() string {
 	return fmt.Sprintf("order of %s %d refused, %d is in force", e.What, e.Got, e.Have)
 }
 
-// WithOrder returns the fence after an order, or a StaleError and the fence as
-// it was.
+// WithOrder returns the fence after an order. It returns a StaleError and the unchanged fence if
+// the order is outdated.
 func (f Fence) WithOrder(term, incarnation uint64) (Fence, error) {
 	if incarnation != f.Incarnation {
 		return f, &StaleError{"incarnation", incarnation, f.Incarnation}
@@ -38,7 +38,7 @@
 	return f.WithTerm(term), nil
 }
 
-// WithTerm returns the fence after term was heard of.
+// WithTerm returns the fence after a term became known.
 func (f Fence) WithTerm(term uint64) Fence {
 	f.Term = max(f.Term, term)
 	return f
--- a/decide/order/fence_test.go
+++ b/decide/order/fence_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// termModel is an endpoint that takes orders of terms that never fall.
+// termModel is an agent that accepts orders of nondecreasing terms.
 var termModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -52,9 +52,9 @@
 	},
 }
 
-// Givers race, some with terms that have lapsed: the orders taken are those of
-// one leader after the other.
-func TestRacingGiversAreLinearizable(t *testing.T) {
+// Leaders race, some of them with outdated terms: the accepted orders must be linearizable as those
+// of one leader after another.
+func TestRacingLeadersAreLinearizable(t *testing.T) {
 	for seed := range uint64(50) {
 		var mu sync.Mutex
 		var fence order.Fence
