--- a/decide/fence/session.go
+++ b/decide/fence/session.go
@@ -1,25 +1,25 @@
-// Package fence decides which steps of a request an agent may run. It is the
-// last check before work reaches an endpoint, and the only one that the
-// promise "every layer once, in order" rests on.
+// Package fence decides which steps of a request an agent may run. It is the last check before work
+// reaches an endpoint, and the only one that guarantees that each step runs on every layer once and
+// in order.
 package fence
 
-// Verdict is what to do with a step.
+// Verdict is the decision on a step.
 type Verdict int
 
-// The verdicts.
+// Verdicts of Admit.
 const (
-	// Run the step now.
+	// Run means that the step runs now.
 	Run Verdict = iota
-	// Restart drops what is kept of lower attempts and runs the step.
+	// Restart means that the state of lower attempts is dropped and the step runs.
 	Restart
-	// Replay sends the stored output of the step again.
+	// Replay means that the stored output of the step is sent again.
 	Replay
-	// Duplicate ignores the step: it is running already.
+	// Duplicate means that the step is ignored because it is running already.
 	Duplicate
-	// Stale ignores the step: a later attempt has taken its place, or the
-	// position lies further back than what is stored.
+	// Stale means that the step is ignored: a later attempt has replaced it, or its position lies
+	// before the stored output.
 	Stale
-	// Gap refuses the step: an earlier position is missing here.
+	// Gap means that the step is refused because an earlier position is missing.
 	Gap
 )
 
@@ -30,9 +30,9 @@
 	return verdictNames[v]
 }
 
-// Step names a step by attempt and positions.
+// Step identifies a step by its attempt and positions.
 type Step struct {
-	// Attempt is raised by the owner only; the first is 1.
+	// Attempt is the number of the attempt, from 1. Only the owner of the request increments it.
 	Attempt uint32
 	// Position is the first position of the step.
 	Position uint32
@@ -40,22 +40,22 @@
 	Count uint32
 }
 
-// Session is what a stage remembers of one request. The zero Session has seen
-// nothing. It is an immutable value: the With methods return changed copies.
+// Session is a stage's state of one request. The zero Session has seen no step. It is an immutable
+// value: the With methods return changed copies.
 type Session struct {
-	// Attempt is the highest attempt admitted or cancelled; it never falls.
+	// Attempt is the highest attempt admitted or cancelled; it never decreases.
 	Attempt uint32
-	// Next is the position that the attempt runs next.
+	// Next is the next position to run.
 	Next uint32
-	// Last is the latest step that ran to its end; Count 0 means none.
+	// Last is the latest step that completed; its Count is 0 if there is none.
 	Last Step
-	// Running is whether a step of the attempt is at the endpoint.
+	// Running is set while a step of the attempt runs on the endpoint.
 	Running bool
-	// Closed is whether Attempt was cancelled; nothing of it runs again.
+	// Closed is set once Attempt was cancelled; no step of it runs again.
 	Closed bool
 }
 
-// Admit returns the verdict on step.
+// Admit returns the verdict on a step.
 func (s Session) Admit(step Step) Verdict {
 	switch {
 	case step.Attempt < s.Attempt:
@@ -76,8 +76,8 @@
 	return Run
 }
 
-// admitFirst judges the first step seen of an attempt: it starts at 0, for an
-// attempt never inherits positions from another.
+// admitFirst returns the verdict on the first step seen of an attempt. It must start at position 0,
+// because an attempt never inherits positions from another.
 func admitFirst(step Step) Verdict {
 	if step.Position != 0 {
 		return Gap
@@ -85,8 +85,8 @@
 	return Restart
 }
 
-// WithStarted returns s with step at the endpoint. The caller has Admit's
-// Run or Restart for it.
+// WithStarted returns the session after a step started on the endpoint. Admit must have returned
+// Run or Restart for the step.
 func (s Session) WithStarted(step Step) Session {
 	if step.Attempt > s.Attempt {
 		s = Session{Attempt: step.Attempt}
@@ -95,9 +95,8 @@
 	return s
 }
 
-// WithDone returns s after step has run. A step of a former attempt, or of one
-// cancelled meanwhile, changes nothing, and the second result is false: its
-// output must not be used.
+// WithDone returns the session after a step has run. It returns the session unchanged and false for
+// a step of an earlier or cancelled attempt, whose output must not be used.
 func (s Session) WithDone(step Step) (Session, bool) {
 	if step.Attempt != s.Attempt || s.Closed || !s.Running {
 		return s, false
@@ -108,7 +107,7 @@
 	return s, true
 }
 
-// WithCancelled returns s with attempt and all lower ones barred.
+// WithCancelled returns the session with the given attempt and all lower ones barred.
 func (s Session) WithCancelled(attempt uint32) Session {
 	if attempt < s.Attempt {
 		return s
