--- a/decide/health/health.go
+++ b/decide/health/health.go
@@ -1,5 +1,5 @@
-// Package health judges an endpoint by what became of the requests that were
-// sent to it, and not by what it says of itself.
+// Package health rates an endpoint by the results of the requests sent to it, not by the endpoint's
+// own reports.
 package health
 
 import (
@@ -8,85 +8,85 @@
 	"github.com/grademill/grademill/decide/backoff"
 )
 
-// The figures of the judgement.
+// Parameters of the rating.
 const (
-	// fade is the weight of the newest request in the share of failures: some
-	// ten requests make an endpoint's name.
-	fade = 0.1
-	// enoughDrops is the number of requests in a row without an answer from which an
-	// endpoint is passed over.
-	enoughDrops = 3
+	// failureWeight is the weight of the latest request in the share of failures, which thus
+	// reflects about the last ten requests.
+	failureWeight = 0.1
+	// dropThreshold is the number of consecutive requests without an answer after which an endpoint
+	// is avoided.
+	dropThreshold = 3
 )
 
-// lossWait is how long an endpoint is passed over after it could not be reached. A
-// restarted process is back within seconds.
-var lossWait = backoff.Backoff{Base: 300 * time.Millisecond, Max: 2400 * time.Millisecond}
+// avoidBackoff is how long an endpoint is avoided after it could not be reached. A restarted
+// process is back within seconds.
+var avoidBackoff = backoff.Backoff{Base: 300 * time.Millisecond, Max: 2400 * time.Millisecond}
 
-// Record is what is remembered of an endpoint. It is immutable; the zero Record
-// is that of an endpoint without a fault.
+// Record is the health of an endpoint. It is immutable; the zero Record is that of an endpoint
+// without faults.
 type Record struct {
-	// Failing is the share of the recent requests that failed, from 0 to 1.
+	// Failing is the share of recent requests that failed, from 0 to 1.
 	Failing float64
-	// lost are the times in a row that it could not be reached.
-	lost row
-	// dropped are the requests in a row that it took and gave no answer to. Only an answer
-	// ends them: what began before may still end well.
-	dropped row
+	// losses counts consecutive failures to reach the endpoint.
+	losses streak
+	// drops counts consecutive requests that the endpoint accepted without answering. Only an
+	// answer resets it, because earlier requests may still succeed.
+	drops streak
 }
 
-// row is what an endpoint did wrong in a row.
-type row struct {
+// streak is a number of consecutive faults of one kind.
+type streak struct {
 	n int
-	// until is when it may be tried again.
+	// until is the end of the avoidance.
 	until time.Time
 }
 
-// with returns the row after one more at now, of which the first few are pardoned.
-func (r row) with(now time.Time, pardoned int) row {
+// with returns the streak after another fault at now. The first tolerated faults have no effect.
+func (r streak) with(now time.Time, tolerated int) streak {
 	r.n++
-	if r.n > pardoned {
-		r.until = now.Add(lossWait.Delay(r.n-pardoned, 0))
+	if r.n > tolerated {
+		r.until = now.Add(avoidBackoff.Delay(r.n-tolerated, 0))
 	}
 	return r
 }
 
-// WithSuccess returns the record after a request that was answered.
+// WithSuccess returns the record after a request succeeded.
 func (r Record) WithSuccess() Record {
-	return Record{Failing: r.Failing * (1 - fade), dropped: r.dropped}
+	return Record{Failing: r.Failing * (1 - failureWeight), drops: r.drops}
 }
 
-// WithAnswer returns the record after the endpoint has begun to answer a request.
+// WithAnswer returns the record after the endpoint began to answer a request.
 func (r Record) WithAnswer() Record {
-	r.dropped = row{}
+	r.drops = streak{}
 	return r
 }
 
-// WithDrop returns the record after the endpoint ended the connection of a request at now
-// without an answer. One such request says nothing of others; from the third in a row it is
-// passed over for a while: a first endpoint that did so while its checks were passed was
-// sent some 90 requests a second for four seconds, until the retries of all were used up
-// and 142 had failed.
+// WithDrop returns the record after the endpoint closed the connection of a request at now without
+// an answer. One such request tells nothing about others; from the third in a row the endpoint is
+// avoided for a while. Without this, a first endpoint that dropped requests but passed its checks
+// was sent some 90 requests per second for four seconds, until the retry budgets of all gateways
+// were used up and 142 requests had failed.
 func (r Record) WithDrop(now time.Time) Record {
 	r = r.WithFailure()
-	r.dropped = r.dropped.with(now, enoughDrops-1)
+	r.drops = r.drops.with(now, dropThreshold-1)
 	return r
 }
 
-// WithFailure returns the record after a request that the endpoint failed.
+// WithFailure returns the record after the endpoint failed a request.
 func (r Record) WithFailure() Record {
-	r.Failing += fade * (1 - r.Failing)
+	r.Failing += failureWeight * (1 - r.Failing)
 	return r
 }
 
-// WithLoss returns the record after the endpoint could not be reached, fell
-// silent or broke off at now.
+// WithLoss returns the record after the endpoint could not be reached, stopped responding or closed
+// a connection at now.
 func (r Record) WithLoss(now time.Time) Record {
 	r = r.WithFailure()
-	r.lost = r.lost.with(now, 0)
+	r.losses = r.losses.with(now, 0)
 	return r
 }
 
-// Avoided reports whether the endpoint is passed over at now.
+// Avoided reports whether the endpoint is avoided at now.
 func (r Record) Avoided(now time.Time) bool {
-	return now.Before(r.lost.until) || now.Before(r.dropped.until)
+	return now.Before(r.losses.until) || now.Before(r.drops.until)
 }
--- a/decide/health/health_test.go
+++ b/decide/health/health_test.go
@@ -9,7 +9,7 @@
 	"github.com/grademill/grademill/decide/health"
 )
 
-func TestLossIsAvoidedForAGrowingTime(t *testing.T) {
+func TestAvoidancePeriodGrowsWithLosses(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := health.Record{}.WithLoss(now)
 	require.True(t, r.Avoided(now.Add(299*time.Millisecond)))
@@ -35,10 +35,9 @@
 	require.Less(t, r.Failing, 0.4)
 }
 
-// An endpoint that takes requests and gives no answer is passed over from the third in a
-// row on, for a growing time. What began before and ends well does not change that; an
-// answer does.
-func TestDropsInARowAreAvoided(t *testing.T) {
+// An endpoint that accepts requests without answering must be avoided from the third consecutive
+// one on, for a growing time. Only an answer may end this, not the success of an earlier request.
+func TestEndpointIsAvoidedAfterConsecutiveDrops(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := health.Record{}.WithDrop(now).WithDrop(now)
 	require.False(t, r.Avoided(now), "two may be chance")
@@ -49,5 +48,5 @@
 	require.True(t, r.Avoided(now.Add(599*time.Millisecond)))
 	r = r.WithAnswer()
 	require.False(t, r.Avoided(now))
-	require.False(t, r.WithDrop(now).WithDrop(now).Avoided(now), "counted anew")
+	require.False(t, r.WithDrop(now).WithDrop(now).Avoided(now), "the count starts over")
 }
