--- a/decide/isolation/plan_test.go
+++ b/decide/isolation/plan_test.go
@@ -10,8 +10,8 @@
 	"github.com/grademill/grademill/decide/isolation"
 )
 
-// Each suspect that has an endpoint has one of its own, in whatever order gateways know them.
-func TestPlan(t *testing.T) {
+// No two suspects may share an endpoint, and the plan must not depend on the order of the suspects.
+func TestSuspectsHaveSeparateEndpoints(t *testing.T) {
 	for endpoints := range 9 {
 		var names []string
 		for i := range endpoints {
@@ -21,14 +21,14 @@
 		p, same := isolation.New(suspects, names), isolation.New([]fingerprint.Fingerprint{1, 3, 5, 7, 9}, names)
 		used := make(map[string]bool)
 		for _, f := range suspects {
-			lane, ok := p.Of(f)
+			endpoint, ok := p.Of(f)
 			other, also := same.Of(f)
 			require.Equal(t, ok, also)
-			require.Equal(t, lane, other)
+			require.Equal(t, endpoint, other)
 			if ok {
-				require.False(t, used[lane])
-				used[lane] = true
-				require.Equal(t, endpoints > 1, p.Reserved(lane))
+				require.False(t, used[endpoint])
+				used[endpoint] = true
+				require.Equal(t, endpoints > 1, p.Reserved(endpoint))
 			}
 		}
 		require.Len(t, used, min(max(endpoints/3, 1), endpoints, len(suspects)))
--- a/decide/isolation/spared.go
+++ b/decide/isolation/spared.go
@@ -2,17 +2,18 @@
 
 import "github.com/grademill/grademill/decide/layer"
 
-// Holder is an endpoint of a model that serves.
+// Holder is an endpoint that serves layers of a model.
 type Holder struct {
-	// ID is unique, Hall is the data hall.
+	// ID is the unique name of the endpoint, Hall its data hall.
 	ID, Hall string
-	// Layers are those that it holds; a chain may begin at it when the first one is among them.
+	// Layers are the layers that it holds. A chain can start at it if they include the first one.
 	Layers layer.Range
 }
 
-// Spared returns the endpoints at which a chain may begin and that can be lost: those without which
-// their hall still holds all that it held or, where there is none, without which the others together
-// hold all layers that any does. Without the only holder of a layer no request could be served.
+// Spared returns the endpoints at which a chain can start and whose loss leaves no layers
+// uncovered: those without which their hall still holds all of its layers. If there are none, it
+// returns those without which the other endpoints of all halls still hold all layers. Without the
+// only holder of a layer no request could be served.
 func Spared(holders []Holder) []string {
 	halls, all := make(map[string]counts), counts{}
 	for _, h := range holders {
@@ -26,9 +27,9 @@
 	for _, h := range holders {
 		switch {
 		case h.Layers.Empty() || h.Layers.First > 0:
-		case halls[h.Hall].spare(h.Layers):
+		case halls[h.Hall].redundant(h.Layers):
 			near = append(near, h.ID)
-		case all.spare(h.Layers):
+		case all.redundant(h.Layers):
 			far = append(far, h.ID)
 		}
 	}
@@ -38,18 +39,18 @@
 	return far
 }
 
-// counts are the numbers of holders, by layer.
+// counts holds the number of holders by layer.
 type counts map[int]int
 
-// add counts a holder of layers.
+// add counts a holder of the given layers.
 func (c counts) add(r layer.Range) {
 	for l := r.First; l < r.End; l++ {
 		c[l]++
 	}
 }
 
-// spare reports whether each of some layers has another holder.
-func (c counts) spare(r layer.Range) bool {
+// redundant reports whether each of the given layers has another holder.
+func (c counts) redundant(r layer.Range) bool {
 	for l := r.First; l < r.End; l++ {
 		if c[l] < 2 {
 			return false
--- a/decide/isolation/spared_test.go
+++ b/decide/isolation/spared_test.go
@@ -7,8 +7,8 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// The large card of each hall is the only one there that holds layers 8 to 13. Once that of the south is
-// lost, too, the north's must not be.
+// The large card of each hall is the only one there that holds layers 8 to 13. If the south loses
+// its card, the north's must not be lost as well.
 func ExampleSpared() {
 	of := func(id, hall string, first, end int) isolation.Holder {
 		return isolation.Holder{ID: id, Hall: hall, Layers: layer.Range{First: first, End: end}}
