--- a/decide/story/story.go
+++ b/decide/story/story.go
@@ -1,5 +1,4 @@
-// Package story tells from the log of the gateways what became of a request and
-// why.
+// Package story reconstructs from the logs of the gateways what happened to a request and why.
 package story
 
 import (
@@ -13,48 +12,45 @@
 	"time"
 )
 
-// Line is one line of a log.
+// Line is a line of a log.
 type Line struct {
 	At      time.Time
 	Process string
 	Message string
-	// Fields are all others, as they stand in the line.
+	// Fields holds all other fields, unparsed.
 	Fields map[string]json.RawMessage
 }
 
-// Story collects the lines that matter to one request. Set the exported fields,
-// then Read each log.
+// Story collects the lines relevant to one request. Set the exported fields, then Read each log.
 type Story struct {
-	// Request is its ID.
+	// Request is the ID of the request.
 	Request string
-	// Before is how long before the request's first line the beliefs of its
-	// gateway matter.
+	// Before is how far back before the request's first line the state of its gateways is relevant.
 	Before time.Duration
 
-	// told are the lines that name the request, beliefs those that change what a
-	// gateway holds true of an endpoint, the configuration or the store.
-	told, beliefs []Line
+	// requestLines are the lines that name the request. stateLines are those that change a
+	// gateway's view of an endpoint, the configuration or the store.
+	requestLines, stateLines []Line
 }
 
-// beliefMessages begin the lines that change what a gateway holds true.
-var beliefMessages = []string{
+// stateMessages are the beginnings of messages that change a gateway's view.
+var stateMessages = []string{
 	"endpoint ", "first endpoint ", "configuration ", "the store ", "order given", "this gateway ", "nobody gives orders",
 	"record not understood", "record of an endpoint", "request is quarantined", "gateway ", "the right to give orders", "settings ",
 }
 
-// departureMessages begin the lines that tell whether an endpoint takes new work.
+// departureMessages are the beginnings of messages about whether an endpoint accepts new work.
 var departureMessages = []string{
 	"endpoint gone", "endpoint says that it leaves", "endpoint has left", "record of an endpoint that has left",
 }
 
-// departs reports whether the line tells that an endpoint takes no new work.
+// departs reports whether the line states that an endpoint accepts no new work.
 func (l *Line) departs() bool {
 	begins := func(prefix string) bool { return strings.HasPrefix(l.Message, prefix) }
 	return slices.ContainsFunc(departureMessages, begins) || l.Message == "endpoint changed" && string(l.Fields["leaving"]) == "true"
 }
 
-// Read reads a log. Lines that are not JSON, such as those of a crash, are
-// counted and passed over.
+// Read reads a log. It skips and counts lines that are not JSON, such as those of a crash.
 func (s *Story) Read(r io.Reader) (skipped int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, 1<<20)
@@ -70,85 +66,85 @@
 			skipped++
 			continue
 		}
-		s.take(line)
+		s.add(line)
 	}
 	return skipped, scanner.Err()
 }
 
-// parse reads one line.
+// parse parses a line.
 func parse(text string) (Line, bool) {
 	line := Line{Fields: make(map[string]json.RawMessage)}
 	if json.Unmarshal([]byte(text), &line.Fields) != nil {
 		return line, false
 	}
-	line.Message, line.Process = line.take("message"), line.take("process")
-	at, err := time.Parse(time.RFC3339Nano, line.take("time"))
+	line.Message, line.Process = line.remove("message"), line.remove("process")
+	at, err := time.Parse(time.RFC3339Nano, line.remove("time"))
 	line.At = at
 	delete(line.Fields, "level")
 	return line, err == nil && line.Message != ""
 }
 
-// take removes a field and returns its text.
-func (l *Line) take(name string) string {
+// remove deletes a field and returns its text.
+func (l *Line) remove(name string) string {
 	var text string
 	_ = json.Unmarshal(l.Fields[name], &text) // a field of another type has no text
 	delete(l.Fields, name)
 	return text
 }
 
-// text returns the text of a field, empty for none.
+// text returns the text of a field, empty if it is missing.
 func (l *Line) text(name string) string {
 	var text string
 	_ = json.Unmarshal(l.Fields[name], &text) // a field of another type has no text
 	return text
 }
 
-// concerns reports whether the line names a request by its fingerprint.
+// concerns reports whether the line contains the fingerprint of a request.
 func (l *Line) concerns(fingerprint string) bool {
 	var begun []string
 	_ = json.Unmarshal(l.Fields["begun"], &begun) // few lines have it
 	return fingerprint != "" && (l.text("print") == fingerprint || slices.Contains(begun, fingerprint))
 }
 
-// take sorts a line in.
-func (s *Story) take(l Line) {
+// add stores a line if it is relevant.
+func (s *Story) add(l Line) {
 	if l.text("request") == s.Request {
-		s.told = append(s.told, l)
+		s.requestLines = append(s.requestLines, l)
 		return
 	}
-	for _, prefix := range beliefMessages {
+	for _, prefix := range stateMessages {
 		if strings.HasPrefix(l.Message, prefix) {
-			s.beliefs = append(s.beliefs, l)
+			s.stateLines = append(s.stateLines, l)
 			return
 		}
 	}
 }
 
-// Lines returns the story in the order of time: what its gateways came to believe
-// of the endpoints that the request names, what any gateway knew of their leaving, however long before,
-// what any found of endpoints that ended under the same request, also when it came before, and what was
-// decided about it.
+// Lines returns the relevant lines in ascending order of time: the decisions about the request, the
+// changes in its gateways' view of the endpoints that it names, all gateways' lines about these
+// endpoints' departure, however long before, and all gateways' lines about endpoints that crashed
+// under the same request, including earlier attempts.
 func (s *Story) Lines() []Line {
-	if len(s.told) == 0 {
+	if len(s.requestLines) == 0 {
 		return nil
 	}
 	byTime := func(a, b Line) int { return a.At.Compare(b.At) }
-	slices.SortStableFunc(s.told, byTime)
-	from, to := s.told[0].At.Add(-s.Before), s.told[len(s.told)-1].At
+	slices.SortStableFunc(s.requestLines, byTime)
+	from, to := s.requestLines[0].At.Add(-s.Before), s.requestLines[len(s.requestLines)-1].At
 	processes := make(map[string]bool)
-	var named strings.Builder
+	var mentioned strings.Builder
 	endpoints := make(map[string]bool)
 	fingerprint := ""
-	for _, l := range s.told {
+	for _, l := range s.requestLines {
 		processes[l.Process] = true
 		fingerprint = cmp.Or(fingerprint, l.text("print"))
 		endpoints[l.text("endpoint")] = true
 		for _, value := range l.Fields {
-			named.Write(value)
+			mentioned.Write(value)
 		}
 	}
-	lines := slices.Clone(s.told)
-	for _, l := range s.beliefs {
+	lines := slices.Clone(s.requestLines)
+	for _, l := range s.stateLines {
 		if l.concerns(fingerprint) || l.departs() && endpoints[l.text("endpoint")] {
 			if !l.At.After(to) {
 				lines = append(lines, l)
@@ -156,8 +152,8 @@
 			continue
 		}
 		address := l.text("address")
-		about := l.text("print") == "" && (address == "" || strings.Contains(named.String(), address))
-		if processes[l.Process] && about && l.At.After(from) && !l.At.After(to) {
+		relevant := l.text("print") == "" && (address == "" || strings.Contains(mentioned.String(), address))
+		if processes[l.Process] && relevant && l.At.After(from) && !l.At.After(to) {
 			lines = append(lines, l)
 		}
 	}
@@ -165,7 +161,7 @@
 	return lines
 }
 
-// Write writes the story, a line for each, with times from the first one.
+// Write writes the relevant lines with the time since the first one.
 func (s *Story) Write(w io.Writer) error {
 	lines := s.Lines()
 	for _, l := range lines {
--- a/decide/story/story_test.go
+++ b/decide/story/story_test.go
@@ -34,8 +34,8 @@
 	require.Equal(t, []string{"endpoint holds requests up", "chain broke", "request ended"}, messages)
 }
 
-// told returns the processes and messages of the story of request r1 from a log.
-func told(t *testing.T, log string) []string {
+// messagesOf returns the processes and messages of the lines relevant to request r1 in a log.
+func messagesOf(t *testing.T, log string) []string {
 	s := &story.Story{Request: "r1", Before: time.Second}
 	_, err := s.Read(strings.NewReader(log))
 	require.NoError(t, err)
@@ -46,8 +46,8 @@
 	return list
 }
 
-// A request that was refused because endpoints had ended under it when it came before: the
-// story tells of these, whichever gateway found them, and however long ago.
+// The story of a request rejected because endpoints crashed under an earlier attempt must include
+// these crashes, whichever gateway found them, and however long ago.
 func TestStoryOfAQuarantinedRequest(t *testing.T) {
 	const lines = `{"process":"g2","time":"2026-12-02T09:50:00Z","endpoint":"a","address":"10.0.0.1:80","ended":true,"begun":["f0","f1"],"message":"endpoint does not answer"}
 {"process":"g2","time":"2026-12-02T09:50:01Z","endpoint":"b","address":"10.0.0.2:80","ended":true,"begun":["f1"],"message":"endpoint does not answer"}
@@ -55,10 +55,11 @@
 {"process":"g3","time":"2026-12-02T09:50:03Z","print":"f1","message":"request is quarantined"}
 {"process":"g1","time":"2026-12-02T10:00:00Z","request":"r1","print":"f0","outcome":"not run","message":"request ended"}
 `
-	require.Equal(t, []string{"g2 endpoint does not answer", "g3 request is quarantined", "g1 request ended"}, told(t, lines))
+	require.Equal(t, []string{"g2 endpoint does not answer", "g3 request is quarantined", "g1 request ended"}, messagesOf(t, lines))
 }
 
-// A request that reached an endpoint that had left: the story tells which gateways knew, and since when.
+// The story of a request that reached a departed endpoint must include which gateways knew of the
+// departure, and since when.
 func TestStoryOfARequestToALeavingEndpoint(t *testing.T) {
 	const lines = `{"process":"g2","time":"2026-12-02T09:50:00Z","endpoint":"a","address":"10.0.0.1:80","leaving":false,"message":"endpoint changed"}
 {"process":"g2","time":"2026-12-02T09:50:01Z","endpoint":"a","address":"10.0.0.1:80","leaving":true,"message":"endpoint changed"}
@@ -66,7 +67,7 @@
 {"process":"g3","time":"2026-12-02T09:50:03Z","endpoint":"a","gateway":"g2","message":"endpoint has left by the word of another gateway"}
 {"process":"g1","time":"2026-12-02T10:00:00Z","request":"r1","endpoint":"a","record_revision":7,"outcome":"served","message":"request ended"}
 `
-	require.Equal(t, []string{"g2 endpoint changed", "g3 endpoint has left by the word of another gateway", "g1 request ended"}, told(t, lines))
+	require.Equal(t, []string{"g2 endpoint changed", "g3 endpoint has left by the word of another gateway", "g1 request ended"}, messagesOf(t, lines))
 }
 
 func ExampleStory() {
--- a/decide/story/times.go
+++ b/decide/story/times.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Times are the parts of the time in which a stream was answered: what made it late.
+// Times breaks down the time in which a stream was answered, and shows why an answer was late.
 type Times struct {
-	// Before is what earlier tries of the caller took, 0 for one that was not taken to have
-	// come back, Line the wait for room, Chain the time from then to the first event, tries
-	// that were given up among it.
+	// Before is the time spent on the caller's earlier attempts, 0 unless it was taken for a
+	// returning one. Line is the time in the queue. Chain is the time from then to the first event,
+	// including abandoned attempts.
 	Before, Line, Chain time.Duration
-	// Pause is the longest wait between two events.
+	// Pause is the longest time between two events.
 	Pause time.Duration
 }
 
-// String returns the parts, empty for none.
+// String returns the times as text, empty for the zero Times.
 func (t Times) String() string {
 	if t == (Times{}) {
 		return ""
@@ -25,7 +25,7 @@
 		t.Before, t.Line, t.Chain, t.Pause)
 }
 
-// timesOf returns the parts that the last line about a request tells.
+// timesOf returns the times in the last line about a request.
 func timesOf(l Line) Times {
 	first := l.millis("first_ms")
 	if first == 0 {
@@ -39,7 +39,8 @@
 	return t
 }
 
-// millis returns a field in milliseconds as a duration, to the millisecond, 0 for none.
+// millis returns a field in milliseconds as a duration, rounded to the millisecond, 0 if it is
+// missing.
 func (l *Line) millis(name string) time.Duration {
 	var ms float64
 	_ = json.Unmarshal(l.Fields[name], &ms) // a field of another type is no number
--- a/decide/story/verdict.go
+++ b/decide/story/verdict.go
@@ -6,39 +6,40 @@
 	"strings"
 )
 
-// Fate is what became of a request, as far as logs tell.
+// Fate is the result of a request, as far as the logs show.
 type Fate string
 
-// The fates.
+// Fates of a request.
 const (
-	// FateAnswered is a request whose answer the gateway gave whole to its caller: what
-	// it asked for was done and acknowledged.
+	// FateAnswered is a request whose caller got the whole answer: the work was done and
+	// acknowledged.
 	FateAnswered Fate = "answered"
-	// FateNotRun is a request that no endpoint ran, and of which the caller was told so.
+	// FateNotRun is a request that no endpoint ran, and whose caller was told so.
 	FateNotRun Fate = "not run"
-	// FateRan is a request that an endpoint may have run to its end, without its caller
-	// having the whole answer.
+	// FateRan is a request that an endpoint may have completed, but whose caller did not get the
+	// whole answer.
 	FateRan Fate = "may have run, not acknowledged"
-	// FateUnknown is a request whose gateway wrote nothing more after it had sent it.
+	// FateUnknown is a request whose gateway logged nothing after sending it.
 	FateUnknown Fate = "unknown: the gateway ended after it had sent the request"
-	// FateUnsent is a request that was not sent to any endpoint, as far as logs tell.
+	// FateUnsent is a request that was not sent to any endpoint, as far as the logs show.
 	FateUnsent Fate = "not sent, as far as the logs tell"
 )
 
-// Verdict is what became of one try of a caller.
+// Verdict is the result of one of a caller's attempts.
 type Verdict struct {
 	Fate Fate
-	// Process is the gateway that took it.
+	// Process is the gateway that received it.
 	Process string
-	// Endpoint is where it ran or may have run, empty for nowhere: its own log tells.
+	// Endpoint is where it ran or may have run, empty if it did not; that endpoint's own log has
+	// the details.
 	Endpoint string
-	// Status is what the caller was answered, 0 for nothing.
+	// Status is the status code sent to the caller, 0 if none was.
 	Status int
-	// Times are where its time went, zero for a request without a first event.
+	// Times is the breakdown of its time, zero for a request without a first event.
 	Times Times
 }
 
-// String returns the verdict as a line.
+// String returns the verdict as one line.
 func (v Verdict) String() string {
 	text := string(v.Fate)
 	if v.Status != 0 {
@@ -56,14 +57,14 @@
 	return text
 }
 
-// The messages that tell the fate of a request. A gateway writes the first before it
-// sends a request that must not run twice, and the second when it is done with one.
+// Messages that determine the fate of a request. A gateway writes messageSent before it sends a
+// request that must not run twice, and messageEnded once it is done with a request.
 const (
 	messageSent  = "request is sent"
 	messageEnded = "request ended"
 )
 
-// Verdict returns what became of the request.
+// Verdict returns the result of the request.
 func (s *Story) Verdict() Verdict {
 	v := Verdict{Fate: FateUnsent}
 	for _, l := range s.Lines() {
@@ -71,14 +72,14 @@
 		case messageSent:
 			v = Verdict{Fate: FateUnknown, Process: l.Process, Endpoint: l.text("address")}
 		case messageEnded:
-			v = ended(l)
+			v = verdictOf(l)
 		}
 	}
 	return v
 }
 
-// ended returns what the last line about a request tells.
-func ended(l Line) Verdict {
+// verdictOf returns the verdict in the last line about a request.
+func verdictOf(l Line) Verdict {
 	v := Verdict{Process: l.Process, Status: l.number("status"), Times: timesOf(l)}
 	if used := l.list("used"); len(used) > 0 {
 		v.Endpoint = used[len(used)-1]
@@ -94,14 +95,14 @@
 	return v
 }
 
-// number returns a field as a number, 0 for none.
+// number returns a field as a number, 0 if it is missing.
 func (l *Line) number(name string) int {
 	var n int
 	_ = json.Unmarshal(l.Fields[name], &n) // a field of another type is no number
 	return n
 }
 
-// list returns a field as a list of texts, without marks of what was done there.
+// list returns a field as a list of strings without their "moved: " marks.
 func (l *Line) list(name string) []string {
 	var list []string
 	_ = json.Unmarshal(l.Fields[name], &list) // a field of another type is no list
--- a/decide/story/verdict_test.go
+++ b/decide/story/verdict_test.go
@@ -10,8 +10,7 @@
 	"github.com/grademill/grademill/decide/story"
 )
 
-// What became of a renewal is told from logs alone, also when the gateway that took it
-// has lost its power.
+// The logs alone must determine the result of a request, even if its gateway lost power.
 func TestVerdict(t *testing.T) {
 	const (
 		sent   = `{"time":"2026-12-02T10:00:00Z","process":"g-1","message":"request is sent","request":"r","address":"10.0.0.1:80"}`
@@ -42,8 +41,8 @@
 	}
 }
 
-// A late answer names the part of its time that made it late.
-func TestLateAnswerNamesItsParts(t *testing.T) {
+// The verdict on a late answer must show how its time was spent.
+func TestVerdictHoldsTimes(t *testing.T) {
 	const log = `{"time":"2026-12-02T10:00:01Z","process":"g-1","message":"request ended","request":"r","outcome":"served","status":200,"runs":1,"first_ms":640.25,"waited_ms":300.5,"under_route_ms":2100,"returned":true,"pause_ms":46.2}`
 	s := &story.Story{Request: "r", Before: time.Minute}
 	_, err := s.Read(strings.NewReader(log))
