--- a/decide/freshness/freshness.go
+++ b/decide/freshness/freshness.go
@@ -1,63 +1,61 @@
-// Package freshness decides by the age of a proof that the configuration is
-// current what a gateway may do, and how often it has to prove it anew.
+// Package freshness decides what a gateway may do, given the age of its freshness proof, and how
+// often it must renew the proof. A freshness proof shows that the gateway's configuration was
+// current at a point in time.
 package freshness
 
 import "time"
 
-// The figures of the users' platform.
+// Properties of the store.
 const (
-	// deafness is how long a watch of the store may have missed changes without
-	// its knowing.
-	deafness = time.Second
-	// margin is the time between the check of a proof and the moment at which an
-	// endpoint gets the request.
-	margin = 300 * time.Millisecond
-	// readyShare is the part of the bound of revocation up to which a gateway is
-	// ready: callers are led elsewhere before requests have to be refused.
+	// maxWatchLag is how long a watch of the store may miss changes undetected.
+	maxWatchLag = time.Second
+	// sendMargin is the time between the check of a proof and the arrival of the request at an
+	// endpoint.
+	sendMargin = 300 * time.Millisecond
+	// readyShare is the fraction of the revocation bound up to which a gateway is ready, so that
+	// load balancers redirect callers before the gateway has to refuse requests.
 	readyShare = 0.6
-	// longestWait and shortestWait bound a question for changes: what is longer
-	// saves nothing, and what is shorter asks more often than the store answers.
-	longestWait  = 1100 * time.Millisecond
-	shortestWait = 200 * time.Millisecond
+	// maxWait and minWait bound the duration of a watch request: a longer one saves nothing, a
+	// shorter one queries the store more often than it answers.
+	maxWait = 1100 * time.Millisecond
+	minWait = 200 * time.Millisecond
 )
 
-// Policy is what the age of a proof allows. The zero Policy has no bound.
+// Policy decides by the age of a freshness proof. The zero Policy has no bound.
 type Policy struct {
-	// Revocation is how soon a key that was taken away must not work anywhere, 0
-	// for no bound.
+	// Revocation is the time within which a revoked key must stop working everywhere, 0 for no
+	// bound.
 	Revocation time.Duration
 }
 
-// Serves reports whether requests with a key may be served on a proof of an age.
+// Serves reports whether requests with a key may be served with a proof of the given age.
 func (p Policy) Serves(age time.Duration) bool {
-	return p.Revocation == 0 || age < p.serves()
+	return p.Revocation == 0 || age < p.maxServingAge()
 }
 
-// Ready reports whether a gateway counts as ready on a proof of an age.
+// Ready reports whether a gateway is ready with a proof of the given age.
 func (p Policy) Ready(age time.Duration) bool {
-	return p.Revocation == 0 || age < p.ready()
+	return p.Revocation == 0 || age < p.maxReadyAge()
 }
 
-// Wait returns how long a question for changes may wait. While one waits, the
-// newest proof is that of the question before it, so that a proof gets as old as
-// two of them.
+// Wait returns the duration of a watch request. While one is pending, the latest proof is that of
+// the request before it, so a proof reaches the age of two requests.
 func (p Policy) Wait() time.Duration {
 	if p.Revocation == 0 {
-		return longestWait
+		return maxWait
 	}
-	oldest := min(p.serves(), p.ready()) - margin
-	return min(max(oldest/2, shortestWait), longestWait)
+	oldest := min(p.maxServingAge(), p.maxReadyAge()) - sendMargin
+	return min(max(oldest/2, minWait), maxWait)
 }
 
-// LateIn returns how long it takes until a proof of an age is late, though calls of the
-// store do not fail.
+// LateIn returns the time until a proof of the given age is late, if calls to the store succeed.
 func (p Policy) LateIn(age time.Duration) time.Duration {
-	return 2*p.Wait() + margin - age
+	return 2*p.Wait() + sendMargin - age
 }
 
-// Late reports whether a proof of an age is older than in calm times, when each
-// question for changes is answered as soon as it has waited. While calls of the
-// store fail it counts as late a whole question earlier.
+// Late reports whether a proof is older than in normal operation, in which the store answers each
+// watch request as soon as its wait ends. While calls to the store fail, a proof is late one wait
+// earlier.
 func (p Policy) Late(age time.Duration, failing bool) bool {
 	if failing {
 		age += p.Wait()
@@ -65,10 +63,10 @@
 	return p.LateIn(age) < 0
 }
 
-func (p Policy) serves() time.Duration {
-	return p.Revocation - deafness - margin
+func (p Policy) maxServingAge() time.Duration {
+	return p.Revocation - maxWatchLag - sendMargin
 }
 
-func (p Policy) ready() time.Duration {
+func (p Policy) maxReadyAge() time.Duration {
 	return time.Duration(readyShare * float64(p.Revocation))
 }
--- a/decide/freshness/freshness_test.go
+++ b/decide/freshness/freshness_test.go
@@ -20,8 +20,8 @@
 	require.True(t, none.Ready(time.Hour))
 }
 
-// A proof is late before keys are refused, with the time in which a balancer
-// notices, and never in calm times.
+// A proof must be late early enough before requests are refused for a load balancer to notice, and
+// never in normal operation.
 func TestLateness(t *testing.T) {
 	for bound := 4 * time.Second; bound < 30*time.Second; bound += 100 * time.Millisecond {
 		p := freshness.Policy{Revocation: bound}
@@ -34,9 +34,9 @@
 	}
 }
 
-// In calm times a proof never gets too old to serve or to be ready, whatever the
-// bound: two questions fit.
-func TestTwoQuestionsFit(t *testing.T) {
+// In normal operation a proof must never get too old to serve or to be ready, whatever the bound,
+// because two watch requests fit into it.
+func TestTwoWatchRequestsFitTheBound(t *testing.T) {
 	for bound := 2 * time.Second; bound < 30*time.Second; bound += 100 * time.Millisecond {
 		p := freshness.Policy{Revocation: bound}
 		oldest := 2 * p.Wait()
