--- a/decide/reread/reread_test.go
+++ b/decide/reread/reread_test.go
@@ -19,9 +19,9 @@
 	}{
 		{"nothing to read", nil, 1, 0},
 		{"alone", []reread.Part{{Own: 1, Share: 0.1, Slow: 8}}, 1, 80 * time.Millisecond},
-		{"after others", []reread.Part{{Own: 1, Others: 4, Share: 0.1, Slow: 8}}, 1, 400 * time.Millisecond},
-		{"the slowest decides", []reread.Part{{Own: 1, Share: 0.1, Slow: 8}, {Own: 1, Share: 0.9, Slow: 3}}, 1, 270 * time.Millisecond},
-		{"with those of all gateways", []reread.Part{{Own: 2, Share: 0.1, Slow: 8}}, 20, 2440 * time.Millisecond},
+		{"behind prompts of other gateways", []reread.Part{{Own: 1, Others: 4, Share: 0.1, Slow: 8}}, 1, 400 * time.Millisecond},
+		{"the slowest part determines the result", []reread.Part{{Own: 1, Share: 0.1, Slow: 8}, {Own: 1, Share: 0.9, Slow: 3}}, 1, 270 * time.Millisecond},
+		{"all gateways move streams", []reread.Part{{Own: 2, Share: 0.1, Slow: 8}}, 20, 2440 * time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -30,7 +30,7 @@
 	}
 }
 
-// A stream is moved where it is in time then, and where another chain is hardly sooner.
+// A stream must move if its next event is then in time, or if another chain is hardly faster.
 func TestLeave(t *testing.T) {
 	require.False(t, reread.Leave(100*time.Millisecond, 0, 200*time.Millisecond))
 	require.False(t, reread.Leave(300*time.Millisecond, 200*time.Millisecond, 200*time.Millisecond))
