--- a/decide/event/reader.go
+++ b/decide/event/reader.go
@@ -1,4 +1,4 @@
-// Package event splits a stream of server-sent events without changing a byte.
+// Package event splits a stream of server-sent events and preserves its bytes.
 package event
 
 import (
@@ -8,56 +8,55 @@
 	"io"
 )
 
-// Event is one event with the bytes that it came in.
+// Event is a server-sent event with its original bytes.
 type Event struct {
-	// Raw holds all lines of the event and the empty line after it. It is valid
-	// until the next call of Next.
+	// Raw holds all lines of the event and the empty line that ends it. It is valid until the next
+	// call of Next.
 	Raw []byte
-	// ID is the event's ID; empty when it has none.
+	// ID is the event's ID, empty if it has none.
 	ID string
 }
 
-// Reader reads events. Set the exported fields before the first call.
+// Reader reads events from a stream. Set the exported fields before the first call.
 type Reader struct {
-	// Source is the body of an answer. Its end counts as proper only when it
-	// returns io.EOF.
+	// Source is the body of an answer. Only io.EOF marks its regular end.
 	Source *bufio.Reader
-	// Max bounds the size of an event.
+	// Max is the maximum size of an event in bytes.
 	Max int
 
 	raw []byte
 }
 
-// TruncatedError is a stream that ended inside an event.
+// TruncatedError reports a stream that ended inside an event.
 type TruncatedError struct {
-	// Bytes is the size of the part that came.
+	// Bytes is the number of bytes read of the event.
 	Bytes int
-	// Err is how the stream ended.
+	// Err is the error that ended the stream.
 	Err error
 }
 
-// Error returns the size and the cause.
+// Error returns the number of bytes read and the cause.
 func (e *TruncatedError) Error() string {
 	return fmt.Sprintf("stream ended %d bytes into an event: %v", e.Bytes, e.Err)
 }
 
-// Unwrap returns how the stream ended.
+// Unwrap returns the error that ended the stream.
 func (e *TruncatedError) Unwrap() error {
 	return e.Err
 }
 
-// TooLongError is an event above the bound.
+// TooLongError reports an event larger than the maximum size.
 type TooLongError struct {
 	Max int
 }
 
-// Error returns the bound.
+// Error returns the maximum size.
 func (e *TooLongError) Error() string {
 	return fmt.Sprintf("event of more than %d bytes", e.Max)
 }
 
-// Next returns the next event, or io.EOF at the proper end of the stream. Other
-// errors are those of the source, a TruncatedError or a TooLongError.
+// Next returns the next event, or io.EOF at the regular end of the stream. Other errors are those
+// of the source, a TruncatedError or a TooLongError.
 func (r *Reader) Next() (Event, error) {
 	r.raw = r.raw[:0]
 	var id string
@@ -79,7 +78,7 @@
 	}
 }
 
-// line appends one line with its end.
+// line appends a line, including its line ending, to raw.
 func (r *Reader) line() error {
 	for {
 		part, err := r.Source.ReadSlice('\n')
--- a/decide/event/reader_test.go
+++ b/decide/event/reader_test.go
@@ -34,8 +34,8 @@
 		{"two events", first + second, []string{first, second}, []string{"1", "2"}, io.EOF},
 		{"without an ID", "data: x\n\n", []string{"data: x\n\n"}, []string{""}, io.EOF},
 		{"empty", "", nil, nil, io.EOF},
-		{"cut in a line", first + "id: 2\nda", []string{first}, []string{"1"}, io.ErrUnexpectedEOF},
-		{"cut between lines", first + "id: 2\n", []string{first}, []string{"1"}, io.ErrUnexpectedEOF},
+		{"truncated in a line", first + "id: 2\nda", []string{first}, []string{"1"}, io.ErrUnexpectedEOF},
+		{"truncated between lines", first + "id: 2\n", []string{first}, []string{"1"}, io.ErrUnexpectedEOF},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -53,8 +53,7 @@
 	require.True(t, errors.As(err, &long))
 }
 
-// Whatever comes, nothing is lost or changed: events and the part that was cut
-// off make up the stream.
+// No byte may be lost or changed: the events and a truncated rest must add up to the stream.
 func FuzzNext(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: one\n\nid: 2\n"))
 	f.Fuzz(func(t *testing.T, stream []byte) {
