--- a/decide/answer/assembly.go
+++ b/decide/answer/assembly.go
@@ -1,42 +1,41 @@
-// Package answer assembles one answer out of the tokens that reach its owner.
+// Package answer assembles an answer from the tokens of one or more attempts.
 package answer
 
-// Verdict is what became of a token.
+// Verdict is the decision on a token.
 type Verdict int
 
-// The verdicts.
+// Verdicts of WithToken.
 const (
-	// Accepted tokens belong to the answer.
+	// Accepted means that the token belongs to the answer.
 	Accepted Verdict = iota
-	// Dropped tokens are doubles or come from a former attempt.
+	// Dropped means that the token is a duplicate or comes from an earlier attempt.
 	Dropped
-	// Missing says that a token before this one has not come: the attempt
-	// cannot be trusted any more.
+	// Missing means that an earlier token has not arrived: the attempt can no longer be trusted.
 	Missing
 )
 
-// Token is one token as the last stage sent it.
+// Token is a token as sent by the last stage.
 type Token struct {
-	// Attempt is the attempt that made the token.
+	// Attempt is the attempt that generated the token.
 	Attempt uint32
-	// Position counts prompt and answer from 0.
+	// Position is the token's index in prompt and answer together, from 0.
 	Position uint32
-	// ID is the token itself.
+	// ID is the token's number in the vocabulary.
 	ID uint32
-	// End marks the last token of the answer.
+	// End is set on the last token of the answer.
 	End bool
 }
 
-// Assembly is the answer so far. Make one with New. It is an immutable value;
-// copies share Tokens, which only grows.
+// Assembly is the answer so far. Create one with New. It is an immutable value; copies share
+// Tokens, which only grows.
 type Assembly struct {
-	// Attempt is the one attempt whose tokens are accepted; it never falls.
+	// Attempt is the only attempt whose tokens are accepted; it never decreases.
 	Attempt uint32
-	// Prompt is the number of prompt tokens.
+	// Prompt is the number of tokens of the prompt.
 	Prompt uint32
-	// Tokens are the accepted tokens, each from exactly one attempt.
+	// Tokens are the accepted tokens. Each comes from exactly one attempt.
 	Tokens []uint32
-	// Complete is whether the end mark was accepted; nothing follows it.
+	// Complete is set once the last token was accepted; nothing follows it.
 	Complete bool
 }
 
@@ -45,12 +44,12 @@
 	return Assembly{Attempt: 1, Prompt: uint32(n)}
 }
 
-// Next returns the position of the token that is awaited.
+// Next returns the position of the next token.
 func (a Assembly) Next() uint32 {
 	return a.Prompt + uint32(len(a.Tokens))
 }
 
-// WithToken returns the assembly after t, and what became of t.
+// WithToken returns the assembly after a token, and the verdict on the token.
 func (a Assembly) WithToken(t Token) (Assembly, Verdict) {
 	if t.Attempt != a.Attempt || a.Complete || t.Position < a.Next() {
 		return a, Dropped
@@ -63,8 +62,8 @@
 	return a, Accepted
 }
 
-// WithAttempt returns the assembly waiting for the next attempt. Tokens
-// already accepted stay; the new attempt goes on after them.
+// WithAttempt returns the assembly at the next attempt, which continues after the tokens accepted
+// so far.
 func (a Assembly) WithAttempt() Assembly {
 	a.Attempt++
 	return a
--- a/decide/answer/assembly_test.go
+++ b/decide/answer/assembly_test.go
@@ -21,11 +21,11 @@
 		token answer.Token
 		want  answer.Verdict
 	}{
-		{"doubled", one, token(1, 3), answer.Dropped},
+		{"duplicate", one, token(1, 3), answer.Dropped},
 		{"next", one, token(1, 4), answer.Accepted},
-		{"one left out", one, token(1, 5), answer.Missing},
+		{"skipped token", one, token(1, 5), answer.Missing},
 		{"former attempt", one.WithAttempt(), token(1, 4), answer.Dropped},
-		{"next attempt goes on", one.WithAttempt(), token(2, 4), answer.Accepted},
+		{"next attempt continues", one.WithAttempt(), token(2, 4), answer.Accepted},
 		{"attempt that was not started", one, token(2, 4), answer.Dropped},
 	}
 	for _, c := range cases {
