--- a/decide/policy/set.go
+++ b/decide/policy/set.go
@@ -1,5 +1,4 @@
-// Package policy compiles and evaluates the operators' policies, which are
-// short programs in CEL.
+// Package policy compiles and evaluates the operators' policies, which are short CEL programs.
 package policy
 
 import (
@@ -16,7 +15,7 @@
 	"github.com/grademill/grademill/decide/config"
 )
 
-// Request is what a policy sees of a request.
+// Request holds the attributes of a request that policies can use.
 type Request struct {
 	Team    string
 	Service string
@@ -28,26 +27,26 @@
 	MaxTokens    int
 }
 
-// Host is what a policy sees of a host on which a model may be loaded.
+// Host holds the attributes of a host, on which a model may be loaded, that policies can use.
 type Host struct {
 	Hall    string
 	Service string
 }
 
-// Recovery is what becomes of an answer whose chain has lost a stage.
+// Recovery is how a request continues after its chain has lost a stage.
 type Recovery string
 
-// The ways of recovery.
+// Recovery modes.
 const (
-	// Resume goes on along another chain after the tokens already given.
+	// Resume continues along another chain after the tokens already sent.
 	Resume Recovery = "resume"
 	// Fail ends the request.
 	Fail Recovery = "fail"
 )
 
-// Decision is how a request is treated.
+// Decision is the treatment of a request.
 type Decision struct {
-	// Policy is the name of the policy that matched, empty for none.
+	// Policy is the name of the matching policy, empty if none matches.
 	Policy     string
 	Repeatable bool
 	Priority   int
@@ -56,35 +55,35 @@
 	Recovery Recovery
 }
 
-// CompileError is a policy that does not compile.
+// CompileError reports a policy that does not compile.
 type CompileError struct {
 	Policy, Field string
-	// Line and Column locate the first fault, from 1.
+	// Line and Column locate the first error, from 1.
 	Line, Column int
 	Problem      string
 }
 
-// Error locates the fault.
+// Error returns the location and the problem.
 func (e *CompileError) Error() string {
 	return fmt.Sprintf("policies/%s: %s:%d:%d: %s", e.Policy, e.Field, e.Line, e.Column, e.Problem)
 }
 
-// costLimit bounds the work of one evaluation.
+// costLimit bounds the cost of one evaluation.
 const costLimit = 10_000
 
-// Set is the compiled policies of one configuration. It is immutable.
+// Set holds the compiled policies of one configuration. It is immutable.
 type Set struct {
 	policies []compiled
 }
 
 type compiled struct {
-	revision                                          uint64 // of the object
-	name                                              string
-	order                                             int
-	match, repeatable, priority, deadline, place, rec cel.Program
+	revision                                               uint64 // of the object
+	name                                                   string
+	order                                                  int
+	match, repeatable, priority, deadline, place, recovery cel.Program
 }
 
-// environments are made once: one for requests, one for hosts.
+// environments returns the environments for requests and for hosts, which it creates once.
 var environments = sync.OnceValues(func() (*cel.Env, *cel.Env) {
 	request, err := cel.NewEnv(
 		cel.Variable("team", cel.StringType),
@@ -107,14 +106,13 @@
 	return request, host
 })
 
-// Compile compiles all policies of a state.
+// Compile compiles all policies of a configuration.
 func Compile(policies map[string]config.Object[config.Policy]) (*Set, error) {
 	return new(Set).With(policies)
 }
 
-// With returns the set of all policies of a later state. Those that have not
-// changed are not compiled again. It returns a CompileError for the first that
-// fails; the caller keeps s.
+// With returns the set for the policies of a later configuration. It compiles only policies that
+// have changed. It returns a CompileError for the first one that fails; s remains usable.
 func (s *Set) With(policies map[string]config.Object[config.Policy]) (*Set, error) {
 	former := make(map[string]compiled, len(s.policies))
 	for _, c := range s.policies {
@@ -138,7 +136,7 @@
 	return set, nil
 }
 
-// Check returns a CompileError when p does not compile.
+// Check returns a CompileError if p does not compile.
 func Check(name string, p config.Policy) error {
 	_, err := compile(name, p)
 	return err
@@ -159,7 +157,7 @@
 		{"priority", p.Priority, request, cel.IntType, &c.priority},
 		{"deadline", p.Deadline, request, cel.DurationType, &c.deadline},
 		{"place", p.Place, host, cel.BoolType, &c.place},
-		{"recovery", p.Recovery, request, cel.StringType, &c.rec},
+		{"recovery", p.Recovery, request, cel.StringType, &c.recovery},
 	}
 	for _, f := range fields {
 		if f.text == "" {
@@ -175,7 +173,7 @@
 	return c, nil
 }
 
-// build compiles one program and checks the type of its result.
+// build compiles a program and checks the type of its result.
 func build(env *cel.Env, text string, kind *cel.Type) (cel.Program, *CompileError) {
 	ast, issues := env.Compile(text)
 	if err := issues.Err(); err != nil {
@@ -192,9 +190,9 @@
 	return program, nil
 }
 
-// Decide returns how r is treated: as the first policy says that matches, and
-// where that says nothing, as by default. A program that fails at run time
-// leaves the default, which never makes a request repeatable.
+// Decide returns the treatment of r according to the first matching policy, and defaults for what
+// that policy leaves open. If a program fails at run time, its default applies, except that the
+// request then never is repeatable.
 func (s *Set) Decide(r Request, repeatable bool) Decision {
 	d := Decision{Repeatable: repeatable, Recovery: Resume}
 	if s == nil || len(s.policies) == 0 {
@@ -226,14 +224,14 @@
 	if deadline, ok := eval[time.Duration](c.deadline, vars); ok {
 		d.Deadline = deadline
 	}
-	if recovery, ok := eval[string](c.rec, vars); ok && Recovery(recovery) == Fail {
+	if recovery, ok := eval[string](c.recovery, vars); ok && Recovery(recovery) == Fail {
 		d.Recovery = Fail
 	}
 	return d
 }
 
-// MayPlace reports whether all policies allow the model to be loaded on h. A
-// program that fails at run time forbids it.
+// MayPlace reports whether all policies allow loading the model on h. A program that fails at run
+// time forbids it.
 func (s *Set) MayPlace(h Host) bool {
 	if s == nil {
 		return true
@@ -250,7 +248,7 @@
 	return true
 }
 
-// eval runs a program; false when there is none or it fails.
+// eval runs a program. It returns false if there is no program or it fails.
 func eval[T any](program cel.Program, vars map[string]any) (T, bool) {
 	var zero T
 	if program == nil {
--- a/decide/policy/set_test.go
+++ b/decide/policy/set_test.go
@@ -43,8 +43,8 @@
 		{"the lowest order wins", policy.Request{Team: "desk", PromptTokens: 500, MaxTokens: 5000}, true, policy.Decision{
 			Policy: "desk", Repeatable: true, Priority: 3, Deadline: 5 * time.Second, Recovery: policy.Resume,
 		}},
-		{"no recovery", policy.Request{MaxTokens: 5000}, true, policy.Decision{Policy: "batch", Repeatable: true, Recovery: policy.Fail}},
-		{"a fault never makes repeatable", policy.Request{Team: "odd"}, true, policy.Decision{Policy: "at fault", Recovery: policy.Resume}},
+		{"recovery disabled", policy.Request{MaxTokens: 5000}, true, policy.Decision{Policy: "batch", Repeatable: true, Recovery: policy.Fail}},
+		{"a failed program never makes a request repeatable", policy.Request{Team: "odd"}, true, policy.Decision{Policy: "at fault", Recovery: policy.Resume}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -91,7 +91,7 @@
 func TestEvaluationIsBounded(t *testing.T) {
 	long := `[1,2,3,4,5,6,7,8,9].all(a, [1,2,3,4,5,6,7,8,9].all(b, [1,2,3,4,5,6,7,8,9].all(c, [1,2,3,4,5,6,7,8,9].all(d, a+b+c+d > 0))))`
 	set := compile(t, map[string]config.Policy{"long": {Match: "true", Repeatable: long}})
-	require.False(t, set.Decide(policy.Request{}, true).Repeatable, "what costs too much counts as failed")
+	require.False(t, set.Decide(policy.Request{}, true).Repeatable, "a program above the cost limit fails")
 }
 
 func BenchmarkDecide(b *testing.B) {
