--- a/decide/rate/meter.go
+++ b/decide/rate/meter.go
@@ -1,4 +1,4 @@
-// Package rate measures how much happens in a second.
+// Package rate measures the rate of events with an exponentially decaying average.
 package rate
 
 import (
@@ -6,42 +6,41 @@
 	"time"
 )
 
-// Meter is a rate that follows changes over some seconds. The zero Meter has
-// seen nothing. It is an immutable value: the With methods return changed
-// copies.
+// Meter measures a rate over the last few seconds. The zero Meter has counted nothing. It is an
+// immutable value: the With methods return changed copies.
 type Meter struct {
-	// Span is the time over which the past fades; zero means DefaultSpan.
+	// Span is the time constant of the decay; zero means DefaultSpan.
 	Span time.Duration
 
 	start, at time.Time
-	sum       float64 // of what was counted, faded until at
+	sum       float64 // of the counts, decayed to at
 }
 
-// DefaultSpan is the time over which the past fades.
+// DefaultSpan is the default time constant of the decay.
 const DefaultSpan = 5 * time.Second
 
-// WithCount returns the meter after amount at now.
+// WithCount returns the meter after counting amount at now.
 func (m Meter) WithCount(now time.Time, amount float64) Meter {
 	if m.start.IsZero() {
 		m.start, m.at = now, now
 	}
-	m.sum = m.faded(now) + amount
+	m.sum = m.decayed(now) + amount
 	m.at = now
 	return m
 }
 
-// PerSecond returns the rate at now, 0 until there has been a second to measure.
+// PerSecond returns the rate per second at now, 0 during the first second.
 func (m Meter) PerSecond(now time.Time) float64 {
 	age := now.Sub(m.start)
 	if m.start.IsZero() || age < time.Second {
 		return 0
 	}
-	seen := m.span().Seconds() * (1 - math.Exp(-age.Seconds()/m.span().Seconds()))
-	return m.faded(now) / seen
+	weight := m.span().Seconds() * (1 - math.Exp(-age.Seconds()/m.span().Seconds()))
+	return m.decayed(now) / weight
 }
 
-// faded returns the sum as it counts at now.
-func (m Meter) faded(now time.Time) float64 {
+// decayed returns the sum decayed to now.
+func (m Meter) decayed(now time.Time) float64 {
 	return m.sum * math.Exp(-now.Sub(m.at).Seconds()/m.span().Seconds())
 }
 
--- a/decide/rate/meter_test.go
+++ b/decide/rate/meter_test.go
@@ -19,11 +19,11 @@
 		now = now.Add(100 * time.Millisecond)
 	}
 	require.InDelta(t, 50, m.PerSecond(now), 2)
-	require.InDelta(t, 50/2.718, m.PerSecond(now.Add(rate.DefaultSpan)), 2, "fades while nothing happens")
+	require.InDelta(t, 50/2.718, m.PerSecond(now.Add(rate.DefaultSpan)), 2, "the rate decays without counts")
 }
 
-// One count after a pause does not make the rate collapse.
-func TestPauseDoesNotEraseThePast(t *testing.T) {
+// One count after a pause must not make the rate collapse.
+func TestPauseKeepsEarlierCounts(t *testing.T) {
 	start := time.Unix(1000, 0)
 	var m rate.Meter
 	for i := range 20 {
