--- a/decide/limit/learned.go
+++ b/decide/limit/learned.go
@@ -1,4 +1,4 @@
-// Package limit learns how much work an endpoint takes at a time.
+// Package limit estimates how many sessions an endpoint can process concurrently.
 package limit
 
 import (
@@ -6,11 +6,10 @@
 	"time"
 )
 
-// Learned is a limit on open sessions: as many as keep the time of a step,
-// waiting included, at its target. By Little's law that time is in proportion
-// to the sessions, so each step that is seen gives an estimate, and the limit is
-// their running mean. It is an immutable value: the With methods return changed
-// copies.
+// Learned is an adaptive limit on open sessions: the largest number that keeps the duration of a
+// step, including its wait, at the target. By Little's law that duration is proportional to the
+// number of sessions, so each observed step yields an estimate, and the limit is their running
+// mean. It is an immutable value: the With methods return changed copies.
 type Learned struct {
 	// Min and Max bound the limit; 1 <= Min <= Max.
 	Min, Max int
@@ -21,7 +20,7 @@
 // weight is the weight of a new estimate in the running mean.
 const weight = 0.05
 
-// Value returns the limit now; Min until something has been learned.
+// Value returns the current limit, Min without observations.
 func (l Learned) Value() int {
 	if l.value == 0 {
 		return l.Min
@@ -29,21 +28,21 @@
 	return int(math.Round(l.value))
 }
 
-// WithStep returns l after a step that took so long, with its wait, while so
-// many sessions were open. Target is the time that it should have taken.
+// WithStep returns the limit after a step that took the given time, including its wait, with the
+// given number of open sessions. The target is the desired duration of a step.
 func (l Learned) WithStep(took, target time.Duration, sessions int) Learned {
 	if took <= 0 {
 		return l
 	}
-	fit := l.bounded(float64(sessions) * float64(target) / float64(took))
+	estimate := l.clamp(float64(sessions) * float64(target) / float64(took))
 	if l.value == 0 {
 		l.value = float64(l.Min)
 	}
-	l.value = l.bounded(l.value + weight*(fit-l.value))
+	l.value = l.clamp(l.value + weight*(estimate-l.value))
 	return l
 }
 
-// bounded returns v within Min and Max.
-func (l Learned) bounded(v float64) float64 {
+// clamp returns v limited to the range from Min to Max.
+func (l Learned) clamp(v float64) float64 {
 	return min(max(v, float64(l.Min)), float64(l.Max))
 }
