--- a/decide/backoff/backoff.go
+++ b/decide/backoff/backoff.go
@@ -1,19 +1,19 @@
-// Package backoff spaces out tries against something that keeps failing.
+// Package backoff computes delays between attempts at an operation that keeps failing.
 package backoff
 
 import "time"
 
-// Backoff is an exponential wait with jitter. The zero value never waits.
+// Backoff is an exponential backoff with jitter. The zero Backoff has no delay.
 type Backoff struct {
-	// Base is the wait after the first failure, before jitter.
+	// Base is the delay after the first failure, before jitter.
 	Base time.Duration
-	// Max bounds the wait.
+	// Max is the maximum delay.
 	Max time.Duration
 }
 
-// Delay returns the wait after so many failures in a row, none for no failure.
-// The jitter, in [0, 1), takes up to half of the wait away, so that processes
-// that failed together do not try again together.
+// Delay returns the delay after a number of consecutive failures, 0 for no failure. The jitter, in
+// [0, 1), shortens the delay by up to half, so that processes that failed at the same time do not
+// retry at the same time.
 func (b Backoff) Delay(failures int, jitter float64) time.Duration {
 	if failures <= 0 {
 		return 0
