--- a/decide/progress/report.go
+++ b/decide/progress/report.go
@@ -1,20 +1,20 @@
-// Package progress tells a chain that is slow from one that has lost a step.
+// Package progress distinguishes a slow chain from one that has lost a step.
 package progress
 
-// Report is how far a stage says that an attempt has come.
+// Report is a stage's report of the progress of an attempt.
 type Report struct {
-	// Known is false when the stage holds nothing of the attempt.
+	// Known is false if the stage has no state of the attempt.
 	Known bool
-	// Running is whether a step is at the stage's endpoint, or waits for it.
+	// Running is set while a step runs on the stage's endpoint or waits for it.
 	Running bool
-	// Next is the position that the stage runs next.
+	// Next is the next position that the stage runs.
 	Next uint32
 }
 
-// Lost compares two rounds of reports, in the order of the chain. It returns the
-// stage that a step did not reach, or the last stage when its token was lost. It
-// returns false while a stage is at work or anything has moved: a step may have
-// been between two stages when the first round was asked.
+// Lost compares two rounds of reports, given in the order of the chain. It returns the stage that a
+// step did not reach, or the last stage if its token was lost. It returns false while a stage is
+// running or anything has changed: a step may have been in transit between two stages during the
+// first round.
 func Lost(former, latest []Report) (stage int, lost bool) {
 	for i, r := range latest {
 		if r.Running || r != former[i] {
--- a/decide/progress/report_test.go
+++ b/decide/progress/report_test.go
@@ -21,10 +21,10 @@
 		stage          int
 		lost           bool
 	}{
-		{"a stage is at work", []progress.Report{at(9), running, at(8)}, []progress.Report{at(9), running, at(8)}, 0, false},
+		{"a stage is running", []progress.Report{at(9), running, at(8)}, []progress.Report{at(9), running, at(8)}, 0, false},
 		{"a step was between two stages", []progress.Report{at(9), at(8), at(8)}, []progress.Report{at(9), at(9), at(8)}, 0, false},
 		{"a step did not reach the second stage", []progress.Report{at(9), at(8), at(8)}, []progress.Report{at(9), at(8), at(8)}, 1, true},
-		{"nor the last", []progress.Report{at(9), at(9), at(8)}, []progress.Report{at(9), at(9), at(8)}, 2, true},
+		{"a step did not reach the last stage", []progress.Report{at(9), at(9), at(8)}, []progress.Report{at(9), at(9), at(8)}, 2, true},
 		{"the token was lost", []progress.Report{at(9), at(9), at(9)}, []progress.Report{at(9), at(9), at(9)}, 2, true},
 		{"the first step was lost", []progress.Report{unknown, unknown}, []progress.Report{unknown, unknown}, 0, true},
 		{"a stage does not know the attempt", []progress.Report{at(9), unknown}, []progress.Report{at(9), unknown}, 1, true},
