--- a/decide/timeout/estimator_test.go
+++ b/decide/timeout/estimator_test.go
@@ -11,11 +11,11 @@
 
 func TestEstimator(t *testing.T) {
 	e := timeout.Estimator{Min: 100 * time.Millisecond, Max: 5 * time.Second}
-	require.Equal(t, 5*time.Second, e.Value(), "nothing learned")
+	require.Equal(t, 5*time.Second, e.Value(), "no samples")
 	for range 50 {
 		e = e.WithSample(20 * time.Millisecond)
 	}
-	require.Equal(t, 100*time.Millisecond, e.Value(), "no lower than the least")
+	require.Equal(t, 100*time.Millisecond, e.Value(), "no lower than the minimum")
 	for range 50 {
 		e = e.WithSample(time.Second)
 	}
