--- a/decide/fingerprint/fingerprint.go
+++ b/decide/fingerprint/fingerprint.go
@@ -1,5 +1,5 @@
-// Package fingerprint tells a request that comes again from a new one, by what it asks:
-// callers give each of their tries another ID.
+// Package fingerprint identifies repeated requests by their content, since callers give each
+// attempt a new ID.
 package fingerprint
 
 import (
@@ -8,32 +8,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint is the same for two requests that ask the same for the same team. Two
-// different ones share it by chance once in 2^64 pairs. The zero Fingerprint is that of
-// no request.
+// Fingerprint is a hash that is equal for equal requests of the same team. Two different requests
+// share one by chance once in 2^64 pairs. The zero Fingerprint stands for no request.
 type Fingerprint uint64
 
-// Request is what a fingerprint is taken of.
+// Request holds the parts of a request that determine its fingerprint.
 type Request struct {
-	// Method, Host and Target, the path with its query, are as in the request line.
+	// Method, Host and Target, the path with its query, are as in the request.
 	Method, Host, Target string
-	// Team is whose key the request came with, empty for none.
+	// Team is the team whose key the request carries, empty if none.
 	Team string
 	Body []byte
 }
 
-// Of returns the fingerprint of a request.
+// Of returns the fingerprint of r.
 func Of(r Request) Fingerprint {
 	d := xxhash.New()
 	for _, field := range []string{r.Method, r.Host, r.Target, r.Team} {
-		_, _ = d.WriteString(field) // it never fails
-		_, _ = d.Write([]byte{0})   // so that fields that meet elsewhere differ
+		_, _ = d.WriteString(field) // never fails
+		_, _ = d.Write([]byte{0})   // separates fields
 	}
 	_, _ = d.Write(r.Body)
 	return Fingerprint(d.Sum64())
 }
 
-// String returns the fingerprint as the logs write it.
+// String returns the fingerprint in hexadecimal, as in the logs.
 func (f Fingerprint) String() string {
 	return strconv.FormatUint(uint64(f), 16)
 }
--- a/decide/fingerprint/fingerprint_test.go
+++ b/decide/fingerprint/fingerprint_test.go
@@ -8,7 +8,7 @@
 	"github.com/grademill/grademill/decide/fingerprint"
 )
 
-// Requests differ by each of their parts, and by where one part ends.
+// A change of any part, or of the boundary between two parts, must change the fingerprint.
 func TestOf(t *testing.T) {
 	t.Parallel()
 	base := fingerprint.Request{Method: "POST", Host: "h", Target: "/a", Team: "t", Body: []byte("b")}
