--- a/decide/outcome/report.go
+++ b/decide/outcome/report.go
@@ -1,4 +1,4 @@
-// Package outcome holds the closed set of ends that a request can have.
+// Package outcome defines the possible outcomes of a request.
 package outcome
 
 import (
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Kind is how a request ended.
+// Kind is the outcome of a request.
 type Kind int
 
-// The kinds. The zero Kind is Unknown, so that a forgotten value never claims
-// that something did not run.
+// Outcomes of a request. The zero Kind is Unknown, so that an unset value never claims that a
+// request did not run.
 const (
-	// Unknown requests may have run or not. They are never tried again.
+	// Unknown means that the request may have run. It is never retried.
 	Unknown Kind = iota
-	// Done requests ran, and the whole answer was given.
+	// Done means that the request ran, and the whole answer was sent.
 	Done
-	// NotRun requests truly did not run: never sent to an endpoint, or
-	// refused and barred by every agent that got them.
+	// NotRun means that the request certainly did not run: it was never sent to an endpoint, or
+	// every agent that received it refused and barred it.
 	NotRun
-	// Failed requests ran and did not end well. They may be sent again.
+	// Failed means that the request ran and failed. It may be retried.
 	Failed
 )
 
 var kindNames = [...]string{"unknown", "done", "not_run", "failed"}
 
-// String returns the name that callers see.
+// String returns the name shown to callers.
 func (k Kind) String() string {
 	return kindNames[k]
 }
 
-// Code is a stable name for the cause of an end other than Done.
+// Code is a stable name for the cause of an outcome other than Done.
 type Code string
 
-// The codes.
+// Causes of an outcome.
 const (
 	BadRequest    Code = "bad_request"
 	TooLarge      Code = "too_large"
@@ -55,19 +55,19 @@
 	Internal      Code = "internal"
 )
 
-// Report is the end of a request that is not Done. It is an error.
+// Report is an outcome other than Done. It implements error.
 type Report struct {
 	// Kind is never Done.
 	Kind Kind
 	// Code is the cause.
 	Code Code
-	// Detail is for people; it holds no secret.
+	// Detail is meant for people; it contains no secrets.
 	Detail string
-	// RetryAfter is when to come back; zero means that coming back is no use.
+	// RetryAfter is the delay before a retry; zero means that a retry cannot help.
 	RetryAfter time.Duration
 }
 
-// Error returns the report on one line.
+// Error returns the report as one line.
 func (r *Report) Error() string {
 	return fmt.Sprintf("%s (%s): %s", r.Kind, r.Code, r.Detail)
 }
@@ -77,8 +77,8 @@
 	return &Report{Kind: NotRun, Code: code, Detail: detail, RetryAfter: after}
 }
 
-// Of returns the report that err holds. An error of another type becomes an
-// Unknown report; no error at all gives false.
+// Of returns the report contained in err. For an error of another type it returns an Unknown
+// report, for nil it returns false.
 func Of(err error) (*Report, bool) {
 	if err == nil {
 		return nil, false
