--- a/decide/answer/assembly_test.go
+++ b/decide/answer/assembly_test.go
@@ -21,7 +21,7 @@
 		token answer.Token
 		want  answer.Verdict
 	}{
-		{"duplicate", one, token(1, 3), answer.Dropped},
+		{"doubled", one, token(1, 3), answer.Dropped},
 		{"next", one, token(1, 4), answer.Accepted},
 		{"skipped token", one, token(1, 5), answer.Missing},
 		{"former attempt", one.WithAttempt(), token(1, 4), answer.Dropped},
--- a/decide/apportion/division_test.go
+++ b/decide/apportion/division_test.go
@@ -83,7 +83,7 @@
 // within site.LimitSpan in excess of the number allowed there (negative if all spans are within
 // it).
 func (m *model) run() (goodput float64, excess int) {
-	interval := m.digestInterval()
+	digestInterval := m.digestInterval()
 	for at := time.Duration(0); at < duration; at += step {
 		now := epoch.Add(at)
 		m.deliver(at)
@@ -94,7 +94,7 @@
 			if limit := m.limit(at); limit != n.throttle.Limit().Rate { // answers state the limit
 				n.throttle = n.throttle.WithLimit(throttle.Limit{Rate: limit, At: now}, now, m.random.Float64())
 			}
-			if (at+time.Duration(i)*step)%interval < step {
+			if (at+time.Duration(i)*step)%digestInterval < step {
 				m.sendClaim(n, at)
 				n.throttle = n.throttle.WithShare(m.share(n, at), now)
 			}
--- a/decide/freshness/freshness.go
+++ b/decide/freshness/freshness.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// Properties of the store.
+// Parameters for the store and the load balancers.
 const (
 	// maxWatchLag is how long a watch of the store may miss changes undetected.
 	maxWatchLag = time.Second
--- a/decide/isolation/spared.go
+++ b/decide/isolation/spared.go
@@ -12,8 +12,8 @@
 
 // Spared returns the endpoints at which a chain can start and whose loss leaves no layers
 // uncovered: those without which their hall still holds all of its layers. If there are none, it
-// returns those without which the other endpoints of all halls still hold all layers. Without the
-// only holder of a layer no request could be served.
+// returns those without which the other endpoints of all halls still hold all layers that any
+// endpoint holds. Without the only holder of a layer no request could be served.
 func Spared(holders []Holder) []string {
 	halls, all := make(map[string]counts), counts{}
 	for _, h := range holders {
--- a/decide/order/fence_test.go
+++ b/decide/order/fence_test.go
@@ -52,8 +52,8 @@
 	},
 }
 
-// Leaders race, some of them with outdated terms: the accepted orders must be linearizable as those
-// of one leader after another.
+// Leaders race, some of them with outdated terms: the accepted orders must be linearizable, as
+// orders of one leader after another.
 func TestRacingLeadersAreLinearizable(t *testing.T) {
 	for seed := range uint64(50) {
 		var mu sync.Mutex
--- a/decide/patience/learned.go
+++ b/decide/patience/learned.go
@@ -11,8 +11,8 @@
 	// outlierShare is the fraction of them that may have had less time than usual, since some
 	// callers retry after a fault unknown to this gateway.
 	outlierShare = 0.06
-	// margin is how far below the usual time left a returning caller is, as a fraction of the
-	// route's timeout: half a second of 20 s, the shortest Retry-After delay.
+	// margin is the smallest shortfall from the usual fraction at which a caller counts as a
+	// returning one: half a second of 20 s, the shortest Retry-After delay.
 	margin = 0.02
 )
 
--- a/decide/policy/set.go
+++ b/decide/policy/set.go
@@ -15,7 +15,7 @@
 	"github.com/grademill/grademill/decide/config"
 )
 
-// Request holds the attributes of a request that policies can use.
+// Request holds the attributes of a request that are available to policies.
 type Request struct {
 	Team    string
 	Service string
@@ -27,7 +27,7 @@
 	MaxTokens    int
 }
 
-// Host holds the attributes of a host, on which a model may be loaded, that policies can use.
+// Host holds the attributes, available to policies, of a host on which a model may be loaded.
 type Host struct {
 	Hall    string
 	Service string
@@ -77,10 +77,10 @@
 }
 
 type compiled struct {
-	revision                                               uint64 // of the object
-	name                                                   string
-	order                                                  int
-	match, repeatable, priority, deadline, place, recovery cel.Program
+	revision                                                   uint64 // of the object
+	name                                                       string
+	order                                                      int
+	match, repeatable, priority, deadline, place, recoveryMode cel.Program
 }
 
 // environments returns the environments for requests and for hosts, which it creates once.
@@ -157,7 +157,7 @@
 		{"priority", p.Priority, request, cel.IntType, &c.priority},
 		{"deadline", p.Deadline, request, cel.DurationType, &c.deadline},
 		{"place", p.Place, host, cel.BoolType, &c.place},
-		{"recovery", p.Recovery, request, cel.StringType, &c.recovery},
+		{"recovery", p.Recovery, request, cel.StringType, &c.recoveryMode},
 	}
 	for _, f := range fields {
 		if f.text == "" {
@@ -191,8 +191,8 @@
 }
 
 // Decide returns the treatment of r according to the first matching policy, and defaults for what
-// that policy leaves open. If a program fails at run time, its default applies, except that the
-// request then never is repeatable.
+// that policy leaves open. If a program fails at run time, its default applies, but the request is
+// never repeatable after a failure of the repeatable program.
 func (s *Set) Decide(r Request, repeatable bool) Decision {
 	d := Decision{Repeatable: repeatable, Recovery: Resume}
 	if s == nil || len(s.policies) == 0 {
@@ -224,7 +224,7 @@
 	if deadline, ok := eval[time.Duration](c.deadline, vars); ok {
 		d.Deadline = deadline
 	}
-	if recovery, ok := eval[string](c.recovery, vars); ok && Recovery(recovery) == Fail {
+	if recovery, ok := eval[string](c.recoveryMode, vars); ok && Recovery(recovery) == Fail {
 		d.Recovery = Fail
 	}
 	return d
--- a/decide/throttle/throttle_test.go
+++ b/decide/throttle/throttle_test.go
@@ -52,16 +52,16 @@
 func TestLimitIsWithdrawn(t *testing.T) {
 	named := throttle.Throttle{}.WithWord(report(0, throttle.Word{Limit: 4}), 0).WithShare(1, at(0))
 	for _, c := range []struct {
-		name  string
-		word  throttle.Word
-		names bool
+		name      string
+		report    throttle.Word
+		wantNamed bool
 	}{
 		{"an answer to a request sent before the limit was known", throttle.Word{Sent: at(-0.1), Heard: at(0.2)}, true},
 		{"an answer to a later request", throttle.Word{Sent: at(0.1), Heard: at(0.2)}, false},
 		{"a later answer with an unreadable header", throttle.Word{Sent: at(0.1), Heard: at(0.2), Unclear: "Server-Limit: x"}, true},
 		{"another limit", throttle.Word{Limit: 5, Sent: at(0.1), Heard: at(0.2)}, true},
 	} {
-		assert.Equal(t, c.names, named.WithWord(c.word, 0).Named(), c.name)
+		assert.Equal(t, c.wantNamed, named.WithWord(c.report, 0).Named(), c.name)
 	}
 	ended := named.WithWord(throttle.Word{Sent: at(3), Heard: at(3.1)}, 0.5)
 	assert.Equal(t, throttle.Limited, ended.WithRequest(at(3.2)).WithRequest(at(3.2)).Held(at(3.9)), "the limit is enforced until resumesAt")
