--- a/decide/throttle/throttle.go
+++ b/decide/throttle/throttle.go
@@ -32,9 +32,9 @@
 	demandWindow = 2 * time.Second
 	// minDemand is the lowest rate that counts as demand, in requests per second.
 	minDemand = 0.01
-	// removalReportSpan is how long a gateway reports a withdrawn limit to its peers: long enough
+	// withdrawalReportSpan is how long a gateway reports a withdrawn limit to its peers: long enough
 	// for several digests.
-	removalReportSpan = 3 * time.Second
+	withdrawalReportSpan = 3 * time.Second
 )
 
 // Hold is the reason why an endpoint may not be sent a request now.
@@ -220,7 +220,7 @@
 
 // Tells reports whether this gateway reports the limit to its peers at now.
 func (t Throttle) Tells(now time.Time) bool {
-	return t.Named() || !t.limit.At.IsZero() && now.Sub(t.limit.At) < removalReportSpan
+	return t.Named() || !t.limit.At.IsZero() && now.Sub(t.limit.At) < withdrawalReportSpan
 }
 
 // limited reports whether a limit is enforced at now.
