--- a/role/admission/line.go
+++ b/role/admission/line.go
@@ -1,5 +1,9 @@
-// Package admission is where requests of a model wait for room: who goes first, how long
-// each waits, who is refused at once, and when those that are refused are to come back.
+// Package admission queues the requests of model services until an endpoint has room for them. It
+// decides in which order they are admitted, how long each may wait, which are refused at once, and
+// after what delay a refused caller is to retry.
+//
+// Each gateway has one [Line]: call Run once, then Arrive and Enter for each request, and ComeBack
+// for each that Enter refused.
 package admission
 
 import (
@@ -19,77 +23,77 @@
 	"github.com/grademill/grademill/state/streams"
 )
 
-// The figures of waiting for room.
+// Limits of the queue.
 const (
-	// maxLine bounds the requests that wait: more would wait longer than callers do.
-	maxLine = 1024
-	// pollRoom is the time between two looks for room while requests wait: a few
-	// streams of a hall end in it.
-	pollRoom = 15 * time.Millisecond
-	// returnShare is the part of the time left that a refused caller stays away at
-	// most: callers heed no more than a third.
-	returnShare = 0.3
-	// calmTime is how long nobody must have been refused to learn from callers what they
-	// have when they come first: most who are told to come back have done so by then.
-	calmTime = 8 * time.Second
-	// lateWait is how long a request waits that is late in any case, in parts of its
-	// objective: its caller leaves after four.
-	lateWait = 3
+	// maxQueue is the number of requests of a service that may wait: with more, the last would wait
+	// longer than callers do.
+	maxQueue = 1024
+	// pollInterval is the time between two checks for room while requests wait. A few streams of a hall
+	// end in that time.
+	pollInterval = 15 * time.Millisecond
+	// maxRetryAfterShare bounds the Retry-After delay as a share of the time left until the deadline:
+	// callers heed no delay above a third of that time.
+	maxRetryAfterShare = 0.3
+	// noRefusalPeriod is how long no request may have been refused before arriving requests count
+	// as first attempts, from which the usual timeouts of callers are learned. Most refused callers
+	// have retried by then.
+	noRefusalPeriod = 8 * time.Second
+	// lateWaitObjectives is the time to the first event, in multiples of the objective, that bounds
+	// the wait of a request that is late already: its caller hangs up after four.
+	lateWaitObjectives = 3
 )
 
-// Order returns the urgency of a request under a load; urgency.Load.Of is the one in use.
+// Order returns the urgency of a request under a load. The default is [urgency.Load.Of].
 type Order func(l urgency.Load, begun, returned bool) urgency.Urgency
 
-// Line is where requests wait; G is what they get, such as a chain. The zero Line is ready
-// to use, and looks for room while Run runs. It is safe for concurrent use.
+// Line is a queue of requests that wait for a grant of type G, such as a chain. The zero Line is
+// ready to use. It checks for room only while Run runs. It is safe for concurrent use.
 type Line[G any] struct {
-	// Order orders requests of one priority, nil for urgency.Load.Of.
+	// Order ranks requests of equal priority; nil means [urgency.Load.Of].
 	Order Order
-	// Times are how long streams take.
+	// Times holds the learned durations of streams.
 	Times streams.Times
 
-	// gate and wake are set up by once, before their first use.
+	// once guards the initialization of gate and wake.
 	once sync.Once
 	gate gate.Gate[G]
 	wake chan struct{}
-	// callers learns what callers have when they come first, and refusedAt is when one was
-	// last refused, in nanoseconds of Unix time.
-	callers   byname.Map[patience.Learned]
-	refusedAt atomic.Int64
-	// returning is how many callers of each service come back in a second.
-	returning byname.Map[rate.Meter]
+	// firstTimeouts holds, per service, the timeouts that callers usually set on a first attempt.
+	firstTimeouts byname.Map[patience.Learned]
+	refusedAt     atomic.Int64
+	// retryRates holds the rate of retried requests per service.
+	retryRates byname.Map[rate.Meter]
 
 	mu sync.Mutex
-	// returns are the times at which refused callers come back; guarded by mu.
-	returns comeback.Book
+	// retries schedules the retries of refused callers; guarded by mu.
+	retries comeback.Book
 }
 
-// ready returns the gate of the line, which is set up before its first use.
+// ready initializes the gate on the first call and returns it.
 func (l *Line[G]) ready() *gate.Gate[G] {
 	l.once.Do(func() {
-		l.gate.MaxQueue = maxLine
+		l.gate.MaxQueue = maxQueue
 		l.wake = make(chan struct{}, 1)
 	})
 	return &l.gate
 }
 
-// Arrive notes a request that has come, and reports whether its caller has come back.
+// Arrive records a new request and reports whether it is a retry of a refused one.
 func (l *Line[G]) Arrive(r Request) bool {
 	share := r.share()
-	returned := l.callers.Get(r.Service).Returned(share)
+	returned := l.firstTimeouts.Get(r.Service).Returned(share)
 	if returned {
-		l.returning.Update(r.Service, func(m rate.Meter) rate.Meter { return m.WithCount(r.Start, 1) })
+		l.retryRates.Update(r.Service, func(m rate.Meter) rate.Meter { return m.WithCount(r.Start, 1) })
 	}
-	if r.Start.UnixNano()-l.refusedAt.Load() >= int64(calmTime) {
-		l.callers.Update(r.Service, func(p patience.Learned) patience.Learned { return p.WithShare(share) })
+	if r.Start.UnixNano()-l.refusedAt.Load() >= int64(noRefusalPeriod) {
+		l.firstTimeouts.Update(r.Service, func(p patience.Learned) patience.Learned { return p.WithShare(share) })
 	}
 	return returned
 }
 
-// urgency returns the urgency of a request at now.
 func (l *Line[G]) urgency(r Request, now time.Time) urgency.Urgency {
 	load := urgency.Load{
-		Admitted: l.ready().Admitted(r.Service), Returning: l.returning.Get(r.Service).PerSecond(now),
+		Admitted: l.ready().Admitted(r.Service), Returning: l.retryRates.Get(r.Service).PerSecond(now),
 	}
 	if l.Order != nil {
 		return l.Order(load, r.Begun, r.Returned)
@@ -97,27 +101,27 @@
 	return load.Of(r.Begun, r.Returned)
 }
 
-// Turn is how a request waits.
+// Turn is the urgency and the time limit with which a request waits.
 type Turn struct {
-	// Urgency is its urgency as it was when it came to the line.
+	// Urgency is the urgency of the request on entering the queue.
 	Urgency urgency.Urgency
-	// Until is until when it may wait.
+	// Until is when the wait ends.
 	Until time.Time
 }
 
-// Turn returns how a request waits that comes to the line at now: a new one while its first
-// event can come in time, since its caller can come back; one that cannot for as long as
-// its caller bears to wait for an event.
+// Turn returns the urgency and the time limit of a request that enters the queue at now. A new
+// request waits only while its first event can still meet the objective, since its caller can
+// retry. Any other request waits for as long as a caller bears to wait for the first event.
 func (l *Line[G]) Turn(r Request, now time.Time) Turn {
-	usual := l.Times.First(r.Service)
+	firstEvent := l.Times.First(r.Service)
 	if urgent := l.urgency(r, now); urgent != urgency.New {
-		return Turn{Urgency: urgent, Until: now.Add(lateWait*r.Objective - usual)}
+		return Turn{Urgency: urgent, Until: now.Add(lateWaitObjectives*r.Objective - firstEvent)}
 	}
-	return Turn{Urgency: urgency.New, Until: r.Start.Add(r.Objective - usual)}
+	return Turn{Urgency: urgency.New, Until: r.Start.Add(r.Objective - firstEvent)}
 }
 
-// Enter waits for what try grants. It refuses at once what would wait for longer than it
-// may, and what try says will never have room.
+// Enter waits until try returns a grant. It refuses the request at once if the expected wait
+// exceeds the time limit of turn, or if try answers [gate.Never].
 func (l *Line[G]) Enter(ctx context.Context, r Request, turn Turn, try func() (G, gate.Answer)) (G, *outcome.Report) {
 	ctx, cancel := context.WithDeadline(ctx, turn.Until)
 	defer cancel()
@@ -127,49 +131,49 @@
 		Try: func() (G, gate.Answer) {
 			grant, answer := try()
 			if answer == gate.Full {
-				l.look()
+				l.wakeRun()
 			}
 			return grant, answer
 		},
 	})
 }
 
-// look has Run look for room soon.
-func (l *Line[G]) look() {
+// wakeRun makes Run check for room soon.
+func (l *Line[G]) wakeRun() {
 	select {
 	case l.wake <- struct{}{}:
-	default: // it does
+	default: // Run is woken already
 	}
 }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of queued requests.
 func (l *Line[G]) Waiting() int {
 	return l.ready().Waiting()
 }
 
-// Run admits waiting requests as there is room until ctx ends.
+// Run admits queued requests as room becomes free, until ctx ends.
 func (l *Line[G]) Run(ctx context.Context) {
-	waiting := l.ready()
+	g := l.ready()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-l.wake:
 		}
-		for ctx.Err() == nil && waiting.Waiting() > 0 {
-			pause.For(ctx, pollRoom)
-			waiting.Poke()
+		for ctx.Err() == nil && g.Waiting() > 0 {
+			pause.For(ctx, pollInterval)
+			g.Poke()
 		}
 	}
 }
 
-// ComeBack returns when the caller of a request that is refused at now is to come back, and
-// how many requests a second are admitted, from which that was worked out.
+// ComeBack returns the Retry-After delay for a request that is refused at now, and the rate of
+// admissions in requests per second from which the delay was computed.
 func (l *Line[G]) ComeBack(r Request, now time.Time) (time.Duration, float64) {
 	l.refusedAt.Store(now.UnixNano())
 	load := comeback.Load{Admitted: l.ready().Admitted(r.Service), Lasts: l.Times.Lasts(r.Service)}
-	most := time.Duration(returnShare * float64(r.Deadline.Sub(now)))
+	maxDelay := time.Duration(maxRetryAfterShare * float64(r.Deadline.Sub(now)))
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.returns.Wait(now, load, most), load.Admitted
+	return l.retries.Wait(now, load, maxDelay), load.Admitted
 }
--- a/role/admission/line_test.go
+++ b/role/admission/line_test.go
@@ -15,34 +15,35 @@
 	"github.com/grademill/grademill/role/gate"
 )
 
-// The fleet and the callers of the replayed loads: a gateway's part of a site.
+// The simulated endpoints and callers: one gateway's share of a deployment.
 const (
-	slots     = 40
-	lasts     = time.Second
-	firstTime = 60 * time.Millisecond
-	objective = 500 * time.Millisecond
-	routeTime = 20 * time.Second
-	loadTime  = 20 * time.Second
-	// learnTime is how long there is little load before, in which the line learns.
+	slots          = 40
+	streamTime     = time.Second
+	firstEventTime = 60 * time.Millisecond
+	objective      = 500 * time.Millisecond
+	routeTimeout   = 20 * time.Second
+	loadTime       = 20 * time.Second
+	// learnTime is a period of light load before the measured one, in which the queue learns the
+	// usual durations.
 	learnTime = 2 * time.Second
 )
 
-// play is one load on a virtual clock.
-type play struct {
+// simulation simulates one load on a virtual clock.
+type simulation struct {
 	line   admission.Line[struct{}]
 	random *rand.Rand
 
-	mu   sync.Mutex // guards what follows
+	mu   sync.Mutex // guards the fields below
 	free int
-	// inTime, late and lost count the callers by what became of them.
+	// inTime, late and lost count the callers by outcome.
 	inTime, late, lost int
-	// refusals counts the refusals, sooner those whose callers were told to come back
-	// before the room that was taken came free.
-	refusals, sooner int
+	// refusals counts all refusals, tooEarly those with a Retry-After delay below the known duration
+	// of a stream, after which the slots in use become free.
+	refusals, tooEarly int
 }
 
 // try takes a slot.
-func (p *play) try() (struct{}, gate.Answer) {
+func (p *simulation) try() (struct{}, gate.Answer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.free == 0 {
@@ -52,20 +53,20 @@
 	return struct{}{}, gate.Granted
 }
 
-// leave gives a slot back.
-func (p *play) leave() {
+// leave releases a slot.
+func (p *simulation) leave() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.free++
 }
 
-// attempt is one attempt of a caller that began at a time: it reports whether it was
-// served, and otherwise when the caller is to come back.
-func (p *play) attempt(ctx context.Context, began time.Time) (bool, time.Duration) {
+// attempt makes one attempt for a caller that arrived at began. It reports whether the attempt was
+// served, and otherwise the Retry-After delay.
+func (p *simulation) attempt(ctx context.Context, began time.Time) (bool, time.Duration) {
 	now := time.Now()
 	r := admission.Request{
-		Service: "assistant", Route: routeTime, Patience: routeTime - now.Sub(began), Objective: objective,
-		Start: now, Deadline: began.Add(routeTime),
+		Service: "assistant", Route: routeTimeout, Patience: routeTimeout - now.Sub(began), Objective: objective,
+		Start: now, Deadline: began.Add(routeTimeout),
 	}
 	r.Returned = p.line.Arrive(r)
 	if _, report := p.line.Enter(ctx, r, p.line.Turn(r, now), p.try); report != nil {
@@ -74,12 +75,12 @@
 		defer p.mu.Unlock()
 		p.refusals++
 		if known := p.line.Times.Lasts("assistant"); wait < known {
-			p.sooner++
+			p.tooEarly++
 		}
 		return false, wait
 	}
 	sent := time.Now()
-	time.Sleep(firstTime)
+	time.Sleep(firstEventTime)
 	p.line.Times.NoteFirst("assistant", time.Since(sent))
 	p.mu.Lock()
 	if time.Since(began) <= objective {
@@ -88,14 +89,14 @@
 		p.late++
 	}
 	p.mu.Unlock()
-	time.Sleep(lasts - firstTime)
+	time.Sleep(streamTime - firstEventTime)
 	p.line.Times.NoteWhole("assistant", time.Since(sent))
 	p.leave()
 	return true, 0
 }
 
-// caller asks, and comes back once when it is refused.
-func (p *play) caller(ctx context.Context) {
+// caller makes an attempt, and one retry if it is refused.
+func (p *simulation) caller(ctx context.Context) {
 	began := time.Now()
 	served, wait := p.attempt(ctx, began)
 	if served {
@@ -109,27 +110,27 @@
 	}
 }
 
-// arrivals lets so many callers come a second for a time, at random.
-func (p *play) arrivals(ctx context.Context, group *sync.WaitGroup, perSecond float64, span time.Duration) {
+// arrivals starts callers at random intervals with the given mean rate, for the given span.
+func (p *simulation) arrivals(ctx context.Context, group *sync.WaitGroup, perSecond float64, span time.Duration) {
 	for until := time.Now().Add(span); time.Now().Before(until); {
 		group.Go(func() { p.caller(ctx) })
 		time.Sleep(time.Duration(p.random.ExpFloat64() / perSecond * float64(time.Second)))
 	}
 }
 
-// replay plays a load, in parts of what the fleet serves, with an order of the line.
-func replay(t *testing.T, load float64, order admission.Order) *play {
-	p := &play{free: slots, random: rand.New(rand.NewPCG(7, uint64(load*100)))}
+// simulate simulates a load, given as a multiple of the capacity, with an order of the queue.
+func simulate(t *testing.T, load float64, order admission.Order) *simulation {
+	p := &simulation{free: slots, random: rand.New(rand.NewPCG(7, uint64(load*100)))}
 	p.line.Order = order
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go p.line.Run(ctx)
 		var group sync.WaitGroup
-		capacity := slots / lasts.Seconds()
+		capacity := slots / streamTime.Seconds()
 		p.arrivals(ctx, &group, 0.5*capacity, learnTime)
 		group.Wait()
-		time.Sleep(lasts)
+		time.Sleep(streamTime)
 		p.inTime, p.late = 0, 0
 		p.arrivals(ctx, &group, load*capacity, loadTime)
 		group.Wait()
@@ -138,10 +139,10 @@
 	return p
 }
 
-// The orders that are compared with the one in use: the one that it keeps while few callers
-// come back, and the one while many do, whatever the load.
+// Fixed orders to compare with the adaptive one: the order that the adaptive one uses while few
+// callers retry, and the one that it uses while many do.
 var (
-	returnedFirst admission.Order = func(_ urgency.Load, begun, returned bool) urgency.Urgency {
+	retriedFirst admission.Order = func(_ urgency.Load, begun, returned bool) urgency.Urgency {
 		return urgency.Load{}.Of(begun, returned)
 	}
 	newFirst admission.Order = func(_ urgency.Load, begun, returned bool) urgency.Urgency {
@@ -149,28 +150,29 @@
 	}
 )
 
-// Far beyond what the fleet serves, nearly all who are served are served in time: with
-// those that came back first, most were late.
-func TestMostAreInTimeFarBeyondTheRoom(t *testing.T) {
+// Far above capacity, nearly all requests that are served meet the objective. With retried requests
+// always first, most would be late.
+func TestMostRequestsMeetTheObjectiveFarAboveCapacity(t *testing.T) {
 	for _, load := range []float64{1.7, 2.4, 3.2} {
-		inUse, before := replay(t, load, nil), replay(t, load, returnedFirst)
-		most := slots / lasts.Seconds() * loadTime.Seconds()
-		require.Greater(t, float64(inUse.inTime), 0.8*most, "in time at %v", load)
-		require.Greater(t, inUse.inTime, 2*before.inTime, "at %v", load)
+		inUse, before := simulate(t, load, nil), simulate(t, load, retriedFirst)
+		capacity := slots / streamTime.Seconds() * loadTime.Seconds()
+		require.Greater(t, float64(inUse.inTime), 0.8*capacity, "served in time at load %v", load)
+		require.Greater(t, inUse.inTime, 2*before.inTime, "served in time at load %v, against retried requests first", load)
 	}
 }
 
-// A little beyond what the fleet serves, those that come back are served: with new
-// requests first, they were lost.
-func TestFewAreLostALittleBeyondTheRoom(t *testing.T) {
-	inUse, other := replay(t, 1.05, nil), replay(t, 1.05, newFirst)
+// Slightly above capacity, retried requests are served. With new requests always first, the retried
+// ones would be lost.
+func TestFewCallersAreLostSlightlyAboveCapacity(t *testing.T) {
+	inUse, other := simulate(t, 1.05, nil), simulate(t, 1.05, newFirst)
 	require.LessOrEqual(t, inUse.lost, other.lost)
 	require.Less(t, float64(inUse.lost), 0.06*float64(inUse.inTime+inUse.late))
 }
 
-// Refused callers are told to come back once the room that was taken comes free.
-func TestRefusedCallersComeBackToRoom(t *testing.T) {
-	p := replay(t, 2.4, nil)
+// The Retry-After delay of a refused caller is at least the time after which the slots in use
+// become free.
+func TestRetryAfterLastsUntilSlotsAreFree(t *testing.T) {
+	p := simulate(t, 2.4, nil)
 	require.Positive(t, p.refusals)
-	require.Zero(t, p.sooner)
+	require.Zero(t, p.tooEarly)
 }
--- a/role/admission/request.go
+++ b/role/admission/request.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Request is a request of a service as the line sees it.
+// Request describes a request to the queue.
 type Request struct {
 	Service, Team string
-	// Priority is from 0, the least urgent.
+	// Priority starts at 0, the least urgent.
 	Priority int
-	// Route is the time that the route gives, and Patience what the caller does, 0 when it
-	// does not say.
+	// Route is the timeout of the route. Patience is the timeout that the caller has set, 0 for
+	// none.
 	Route, Patience time.Duration
-	// Objective is how soon the first event is wanted.
+	// Objective is the target for the time to the first event.
 	Objective time.Duration
-	// Start is when the request came, Deadline until when an answer is of use.
+	// Start is when the request arrived. After Deadline its answer is of no use to the caller.
 	Start, Deadline time.Time
-	// Returned is set when its caller has come back, as Arrive found; Begun once an
-	// endpoint may have had it.
+	// Returned is set for a retry, as reported by [Line.Arrive]. Begun is set once an endpoint may
+	// have received the request.
 	Returned, Begun bool
 }
 
-// share returns the part of the route's time that the caller gives, 1 when it does not say.
+// share returns the caller's timeout as a share of the route's, 1 if the caller has set none.
 func (r Request) share() float64 {
 	if r.Patience <= 0 || r.Route <= 0 {
 		return 1
