--- a/role/admission/line.go
+++ b/role/admission/line.go
@@ -28,11 +28,11 @@
 	// maxQueue is the number of requests of a service that may wait: with more, the last would wait
 	// longer than callers do.
 	maxQueue = 1024
-	// pollInterval is the time between two checks for room while requests wait. A few streams of a hall
-	// end in that time.
+	// pollInterval is the time between two checks for room while requests wait. A few streams of a
+	// hall end in that time.
 	pollInterval = 15 * time.Millisecond
-	// maxRetryAfterShare bounds the Retry-After delay as a share of the time left until the deadline:
-	// callers heed no delay above a third of that time.
+	// maxRetryAfterShare bounds the Retry-After delay as a share of the time left until the
+	// deadline: callers heed no delay above a third of that time.
 	maxRetryAfterShare = 0.3
 	// noRefusalPeriod is how long no request may have been refused before arriving requests count
 	// as first attempts, from which the usual timeouts of callers are learned. Most refused callers
--- a/role/admission/line_test.go
+++ b/role/admission/line_test.go
@@ -37,8 +37,8 @@
 	free int
 	// inTime, late and lost count the callers by outcome.
 	inTime, late, lost int
-	// refusals counts all refusals, tooEarly those with a Retry-After delay below the known duration
-	// of a stream, after which the slots in use become free.
+	// refusals counts all refusals, tooEarly those with a Retry-After delay below the known
+	// duration of a stream, after which the slots in use become free.
 	refusals, tooEarly int
 }
 
--- a/role/gossip/gossip.go
+++ b/role/gossip/gossip.go
@@ -1,6 +1,9 @@
-// Package gossip exchanges digests with the other gateways: each tells those of its
-// hall what it uses, and one of each hall tells the other halls the sums. In a small
-// fleet each tells all.
+// Package gossip exchanges digests of endpoint usage between gateways over UDP, so that each
+// gateway knows how loaded the shared endpoints are.
+//
+// In a large fleet each gateway sends its own digest to the gateways of its hall, and one delegate
+// of each hall sends the sums of its hall to the other halls. In a small fleet each gateway sends
+// its digest to all others. Set the exported fields of [Gossip], call Init, then Run.
 package gossip
 
 import (
@@ -18,95 +21,96 @@
 	wire "github.com/grademill/grademill/wire/gossip"
 )
 
-// The figures of what gateways tell each other.
+// Intervals and limits of the exchange.
 const (
-	// nearEvery is the time between two digests of a gateway. A stream lives for
-	// seconds, so what is held changes little in between. Among more than
-	// overlay.FlatSize gateways it grows, so that each sends and gets no more.
-	nearEvery = 150 * time.Millisecond
-	// farEvery is the time between two sums of a hall: what begins in another hall is
-	// a small part.
-	farEvery = 300 * time.Millisecond
-	// usualUses is the number of endpoints up to which sums are told so often; with more it
-	// is seldomer in proportion, since every gateway reads them. The users' fleets of today
-	// have half as many.
-	usualUses = 256
-	// newsEvery is the least time between two digests when there is news: a death
-	// makes several within milliseconds, which go together.
-	newsEvery = 40 * time.Millisecond
-	// settleRounds is the number of digests for which a gateway that has just started
-	// speaks for nobody: in a hall whose gateways all start at once each would.
+	// hallInterval is the time between two digests of a gateway. A stream lasts for seconds, so
+	// usage changes little in between. Among more than [overlay.FlatSize] gateways the interval
+	// grows in proportion, so that each sends and receives no more.
+	hallInterval = 150 * time.Millisecond
+	// sumsInterval is the time between two sums of a hall. Requests from another hall are a small
+	// share of the load.
+	sumsInterval = 300 * time.Millisecond
+	// sumsIntervalUses is the number of endpoints up to which sums are sent every sumsInterval.
+	// With more, the interval grows in proportion, since every gateway decodes them. The fleets in
+	// use today have half as many.
+	sumsIntervalUses = 256
+	// minUpdateInterval is the minimum time between two digests when there are updates: the failure
+	// of an endpoint makes several within milliseconds, which go into one digest.
+	minUpdateInterval = 40 * time.Millisecond
+	// settleRounds is the number of digests for which a gateway that has just started does not act
+	// as the delegate of its hall: where all gateways of a hall start at once, each would.
 	settleRounds = 2
-	// missed is the number of digests after which a gateway that sends none is taken
-	// to have ended, with all it used.
-	missed = 6
-	// missedAnnounced is the same for one that the store names, which may be about to start, and
-	// leastAbsent the least time after which it counts as absent.
-	missedAnnounced = 2 * missed
-	leastAbsent     = 8 * time.Second
-	// linkShare is the part of the host's link that digests may fill, so that requests
-	// go first; linkBurst is how long it may be saved up.
+	// missedDigests is the number of digests that a gateway may miss before it is considered ended
+	// and its usage is dropped.
+	missedDigests = 6
+	// missedDigestsAnnounced is the same for a gateway that is announced in the store but has not
+	// been heard, since it may be about to start; minAbsence is the minimum time before it is
+	// considered absent.
+	missedDigestsAnnounced = 2 * missedDigests
+	minAbsence             = 8 * time.Second
+	// linkShare is the share of the host's link that digests may use, so that requests take
+	// precedence; linkBurst is the time for which unused bandwidth may be saved up.
 	linkShare = 0.08
 	linkBurst = time.Second
-	// maxDatagram is the largest that UDP carries.
+	// maxDatagram is the largest payload of a UDP datagram, in bytes.
 	maxDatagram = 65507
 )
 
-// Local is the gateway whose digests are sent.
+// Local is the gateway on whose behalf digests are sent and received.
 type Local interface {
-	// Digest returns what the gateway uses, without what names the sender. With sums
-	// it adds what the given shares of the other gateways of its hall hold.
+	// Digest returns the gateway's usage without the fields that identify the sender. For the sums
+	// of a hall, others holds the shares of its other gateways, which are added.
 	Digest(now time.Time, others map[string]peers.Share) *wire.Digest
-	// Heard takes in a digest of another gateway, whose shares have been counted.
+	// Heard handles a digest of another gateway whose shares have been counted.
 	Heard(d *wire.Digest, now time.Time)
-	// Lost takes in that an endpoint gives another gateway no answer.
+	// Lost handles the report that an endpoint does not answer another gateway.
 	Lost(l *wire.Loss, now time.Time)
-	// Ended takes in what another gateway tells of the ends of endpoints under requests.
+	// Ended handles another gateway's report of endpoints that have ended while they ran requests.
 	Ended(e *wire.Ends, now time.Time)
 	// Tick is called before each digest.
 	Tick(now time.Time)
 }
 
-// Gossip exchanges digests. Set the exported fields before Run.
+// Gossip exchanges digests. Set the exported fields, then call Init and Run.
 type Gossip struct {
-	// Self is this gateway, Incarnation this life of it.
+	// Self is this gateway, Incarnation its current incarnation.
 	Self        overlay.Member
 	Incarnation uint64
-	// Local is the gateway itself.
-	Local Local
-	// Peers are the other gateways.
-	Peers *peers.Table
-	// FlatUpTo is the size of a fleet up to which all tell all, 0 for overlay.FlatSize.
+	Local       Local
+	Peers       *peers.Table
+	// FlatUpTo is the largest fleet in which each gateway sends its digest to all others, 0 for
+	// [overlay.FlatSize].
 	FlatUpTo int
-	// LinkRate is what the host's link carries, in bytes a second; 0 when it is not
-	// known.
+	// LinkRate is the bandwidth of the host's link in bytes per second, 0 if unknown. If it is
+	// unknown, digests are not limited.
 	LinkRate float64
-	// Listen opens the socket at an address; nil for UDP.
+	// Listen opens the socket at an address; nil means UDP.
 	Listen func(address string) (net.PacketConn, error)
-	// Sent counts the bytes of a digest that was sent, or that had no part of the link.
+	// Sent counts the bytes of a digest that was sent, or that was dropped because it exceeded the
+	// share of the link.
 	Sent func(bytes int, dropped bool)
 	Log  zerolog.Logger
 
-	// current is the fleet by the last look.
+	// current is the fleet as of the last round.
 	current atomic.Pointer[overlay.Overlay]
-	// every is the time between two digests by that look, in nanoseconds.
-	every atomic.Int64
-	news  chan struct{}
+	// interval is the interval between digests as of the last round, in nanoseconds.
+	interval atomic.Int64
+	updates  chan struct{}
 	// socket is nil until Run has opened it.
 	socket atomic.Pointer[net.PacketConn]
 	budget *rate.Limiter
 	number uint64
-	// begun is when Run began.
-	begun time.Time
-	// farDue is when the sums of the hall are due, spoken how often they were sent.
-	farDue time.Time
-	spoken int
-	// relayed is when sums of each other hall were last passed on: several gateways may
-	// speak for a hall while they do not hear each other. Only hear uses it.
+	// started is when Run was called.
+	started time.Time
+	// sumsDue is when the next sums of the hall are due, sumsSent how often they have been sent.
+	sumsDue  time.Time
+	sumsSent int
+	// relayed is when sums of each other hall were last forwarded: several gateways may act as
+	// delegates of a hall while they do not hear each other. Only receive accesses it.
 	relayed map[string]time.Time
 }
 
-// Overlay returns the fleet as it was at the last digest.
+// Overlay returns the fleet as of the last digest.
 func (s *Gossip) Overlay() overlay.Overlay {
 	if o := s.current.Load(); o != nil {
 		return *o
@@ -116,7 +120,7 @@
 
 // Init prepares for News and Run.
 func (s *Gossip) Init() {
-	s.news = make(chan struct{}, 1)
+	s.updates = make(chan struct{}, 1)
 	s.relayed = make(map[string]time.Time)
 	s.budget = rate.NewLimiter(rate.Inf, 0)
 	if s.LinkRate > 0 {
@@ -125,11 +129,11 @@
 	}
 }
 
-// News has a digest sent soon.
+// News triggers an early digest.
 func (s *Gossip) News() {
 	select {
-	case s.news <- struct{}{}:
-	default: // one that is due soon tells all
+	case s.updates <- struct{}{}:
+	default: // an early digest is pending already
 	}
 }
 
@@ -141,13 +145,13 @@
 	}
 	socket, err := listen(s.Self.Address)
 	if err != nil {
-		s.Log.Error().Err(err).Msg("nothing is heard of other gateways")
+		s.Log.Error().Err(err).Msg("gossip socket not opened: no digests are received from other gateways")
 		return
 	}
-	defer socket.Close() //nolint:errcheck // datagrams that are not read
+	defer socket.Close() //nolint:errcheck // unread datagrams may be lost
 	s.socket.Store(&socket)
-	go s.hear(socket)
-	s.begun = time.Now()
+	go s.receive(socket)
+	s.started = time.Now()
 	for ctx.Err() == nil {
 		every := s.round(time.Now())
 		s.wait(ctx, every)
@@ -155,49 +159,49 @@
 	s.farewell()
 }
 
-// round tells the others what is due at now, and returns when the next round is.
+// round sends the digests that are due at now, and returns the time until the next round.
 func (s *Gossip) round(now time.Time) time.Duration {
 	s.Local.Tick(now)
-	s.Peers.Miss(now, max(missedAnnounced*s.Every(), leastAbsent))
+	s.Peers.Miss(now, max(missedDigestsAnnounced*s.Every(), minAbsence))
 	d := s.digest(now, nil, 0)
 	d.EveryMillis = uint32(s.Every().Milliseconds())
 	o := overlay.Overlay{Self: s.Self, Others: s.Peers.Members(s.Self.Name), FlatUpTo: s.FlatUpTo}
 	o.Self.Cut = d.GetCut()
 	s.current.Store(&o)
-	every := nearEvery * time.Duration(max(len(o.Audience()), overlay.FlatSize)) / overlay.FlatSize
-	s.every.Store(int64(every))
-	s.Peers.Expire(now, missed, nearEvery)
+	every := hallInterval * time.Duration(max(len(o.Audience()), overlay.FlatSize)) / overlay.FlatSize
+	s.interval.Store(int64(every))
+	s.Peers.Expire(now, missedDigests, hallInterval)
 	s.send(&wire.Packet{Digest: d}, o.Audience()...)
-	settled := now.Sub(s.begun) >= settleRounds*every // else nobody has been heard yet
-	if settled && o.Delegate() && !now.Before(s.farDue) {
-		s.farDue = now.Add(s.speak(o, now))
+	settled := now.Sub(s.started) >= settleRounds*every // otherwise no peer has been heard yet
+	if settled && o.Delegate() && !now.Before(s.sumsDue) {
+		s.sumsDue = now.Add(s.sendSums(o, now))
 	}
 	return every
 }
 
-// Every returns the time between two digests of a gateway to those of its hall.
+// Every returns the time between two digests to the gateways of the own hall.
 func (s *Gossip) Every() time.Duration {
-	return max(time.Duration(s.every.Load()), nearEvery)
+	return max(time.Duration(s.interval.Load()), hallInterval)
 }
 
-// speak tells the other halls the sums of this one: whoever hears them there passes them
-// on. It returns when the next ones are due: the more they hold, the later.
-func (s *Gossip) speak(o overlay.Overlay, now time.Time) time.Duration {
+// sendSums sends the sums of this hall to one gateway of each other hall, which forwards them
+// there. It returns the time until the next sums are due, which grows with their size.
+func (s *Gossip) sendSums(o overlay.Overlay, now time.Time) time.Duration {
 	shares, members, proven := s.Peers.Sum(s.Self.Hall)
 	d := s.digest(now, shares, members+1)
 	if age := now.Sub(proven); !proven.IsZero() && (!d.GetProven() || age < millis(d.GetProofAgeMillis())) {
 		d.Proven, d.ProofAgeMillis = true, uint32(max(age.Milliseconds(), 0))
 	}
-	every := farEvery * time.Duration(max(len(d.GetUses()), usualUses)) / usualUses
+	every := sumsInterval * time.Duration(max(len(d.GetUses()), sumsIntervalUses)) / sumsIntervalUses
 	d.EveryMillis = uint32(every.Milliseconds())
-	s.spoken++
+	s.sumsSent++
 	for _, hall := range o.Halls() {
-		s.send(&wire.Packet{Digest: d}, o.Relay(hall, s.spoken))
+		s.send(&wire.Packet{Digest: d}, o.Relay(hall, s.sumsSent))
 	}
 	return every
 }
 
-// digest returns what this gateway uses, or with members what its hall does.
+// digest returns this gateway's own usage, or with members the sums of its hall.
 func (s *Gossip) digest(now time.Time, others map[string]peers.Share, members int) *wire.Digest {
 	s.number++
 	d := s.Local.Digest(now, others)
@@ -207,7 +211,7 @@
 	return d
 }
 
-// wait waits for the next round, or for news.
+// wait waits for the next round, or for updates to be sent early.
 func (s *Gossip) wait(ctx context.Context, every time.Duration) {
 	begun := time.Now()
 	due := time.NewTimer(every)
@@ -217,24 +221,24 @@
 		return
 	case <-due.C:
 		return
-	case <-s.news:
+	case <-s.updates:
 	}
-	due.Reset(min(newsEvery, every-time.Since(begun)))
+	due.Reset(min(minUpdateInterval, every-time.Since(begun)))
 	select {
 	case <-ctx.Done():
 	case <-due.C:
 	}
 }
 
-// farewell tells the other gateways that this one uses nothing more.
+// farewell tells the other gateways that this one uses no endpoints any more.
 func (s *Gossip) farewell() {
 	s.number++
 	last := &wire.Digest{Gateway: s.Self.Name, Incarnation: s.Incarnation, Number: s.number, Hall: s.Self.Hall}
 	s.send(&wire.Packet{Digest: last}, s.Overlay().Audience()...)
 }
 
-// send sends a datagram to some gateways, as far as these have a part of the link. The
-// next one makes up for what is lost.
+// send sends a datagram to some gateways, as far as the share of the link allows. A lost or dropped
+// digest is made up for by the next one.
 func (s *Gossip) send(p *wire.Packet, to ...overlay.Member) {
 	socket := s.socket.Load()
 	if len(to) == 0 || socket == nil {
@@ -246,7 +250,7 @@
 		return
 	}
 	if len(text) > maxDatagram {
-		s.Log.Warn().Int("bytes", len(text)).Msg("a datagram is too large, and is not sent")
+		s.Log.Warn().Int("bytes", len(text)).Msg("datagram not sent: larger than UDP allows")
 		return
 	}
 	for _, m := range to {
@@ -256,7 +260,7 @@
 		}
 		address, err := net.ResolveUDPAddr("udp4", m.Address)
 		if err != nil {
-			s.Log.Warn().Err(err).Str("address", m.Address).Msg("address of a gateway not understood")
+			s.Log.Warn().Err(err).Str("address", m.Address).Msg("address of a gateway not resolved")
 			continue
 		}
 		_, _ = (*socket).WriteTo(text, address) // the next digest makes up for a lost one
@@ -264,8 +268,8 @@
 	}
 }
 
-// hear takes digests in until the socket is closed.
-func (s *Gossip) hear(socket net.PacketConn) {
+// receive receives datagrams until the socket is closed.
+func (s *Gossip) receive(socket net.PacketConn) {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, from, err := socket.ReadFrom(buffer)
@@ -274,7 +278,7 @@
 		}
 		p := new(wire.Packet)
 		if err := proto.Unmarshal(buffer[:n], p); err != nil {
-			s.Log.Debug().Err(err).Stringer("from", from).Msg("datagram not understood")
+			s.Log.Debug().Err(err).Stringer("from", from).Msg("datagram not decoded")
 			continue
 		}
 		switch {
@@ -283,23 +287,23 @@
 		case p.GetEnds() != nil:
 			s.Local.Ended(p.GetEnds(), time.Now())
 		default:
-			s.take(p.GetDigest(), from.String(), time.Now())
+			s.handleDigest(p.GetDigest(), from.String(), time.Now())
 		}
 	}
 }
 
-// TellLoss tells all other gateways at once that an endpoint gives this one no answer.
+// TellLoss tells all other gateways immediately that an endpoint does not answer this one.
 func (s *Gossip) TellLoss(endpoint string) {
 	s.send(&wire.Packet{Loss: &wire.Loss{Gateway: s.Self.Name, Endpoint: endpoint}}, s.Overlay().Others...)
 }
 
-// TellEnds tells some gateways of the ends of endpoints under requests.
+// TellEnds tells some gateways of endpoints that have ended while they ran requests.
 func (s *Gossip) TellEnds(e *wire.Ends, to ...overlay.Member) {
 	s.send(&wire.Packet{Ends: e}, to...)
 }
 
-// take takes a digest in, and passes one of another hall on to the gateways of this one.
-func (s *Gossip) take(d *wire.Digest, from string, now time.Time) {
+// handleDigest handles a digest, and forwards sums of another hall to the gateways of this one.
+func (s *Gossip) handleDigest(d *wire.Digest, from string, now time.Time) {
 	if d.GetGateway() == s.Self.Name {
 		return
 	}
@@ -327,14 +331,13 @@
 		return
 	}
 	s.Local.Heard(d, now)
-	if r.Members > 0 && !d.GetRelayed() && now.Sub(s.relayed[r.From.Hall]) >= farEvery/2 {
+	if r.Members > 0 && !d.GetRelayed() && now.Sub(s.relayed[r.From.Hall]) >= sumsInterval/2 {
 		s.relayed[r.From.Hall] = now
 		d.Relayed, d.Address = true, from
 		s.send(&wire.Packet{Digest: d}, s.Overlay().In(s.Self.Hall)...)
 	}
 }
 
-// millis returns a number of milliseconds as a duration.
 func millis(n uint32) time.Duration {
 	return time.Duration(n) * time.Millisecond
 }
--- a/role/gossip/gossip_test.go
+++ b/role/gossip/gossip_test.go
@@ -18,19 +18,19 @@
 	wire "github.com/grademill/grademill/wire/gossip"
 )
 
-// patience bounds every wait: a test that reaches it has failed.
-const patience = 30 * time.Second
+// testTimeout bounds every wait: a test that reaches it fails.
+const testTimeout = 30 * time.Second
 
 // node is a gateway that uses one endpoint.
 type node struct {
 	gossip.Gossip
-	table  peers.Table
-	active atomic.Int64
-	others atomic.Int64
-	heard  atomic.Int64
-	sent   atomic.Int64
-	drops  atomic.Int64
-	stop   func()
+	table   peers.Table
+	active  atomic.Int64
+	others  atomic.Int64
+	heard   atomic.Int64
+	sent    atomic.Int64
+	dropped atomic.Int64
+	stop    func()
 }
 
 // Count implements peers.Counter.
@@ -54,7 +54,8 @@
 // Tick implements gossip.Local.
 func (n *node) Tick(time.Time) {}
 
-// start runs a fleet, each hall of a size, whose members the store has announced.
+// start runs a fleet with the given number of halls and gateways in each hall, all announced in the
+// store.
 func start(t *testing.T, halls, each int, rate float64) []*node {
 	var all []*node
 	for h := range halls {
@@ -67,7 +68,7 @@
 				Incarnation: 1, Local: n, Peers: &n.table, LinkRate: rate, Log: zerolog.Nop(),
 				Sent: func(bytes int, dropped bool) {
 					if dropped {
-						n.drops.Add(int64(bytes))
+						n.dropped.Add(int64(bytes))
 					} else {
 						n.sent.Add(int64(bytes))
 					}
@@ -93,7 +94,7 @@
 	return all
 }
 
-// freePort returns a local address for datagrams.
+// freePort returns a local UDP address that is not in use.
 func freePort(t *testing.T) string {
 	c, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -101,8 +102,9 @@
 	return c.LocalAddr().String()
 }
 
-// know waits until each of the nodes knows of so many requests of the others.
-func know(t *testing.T, nodes []*node, active int64) {
+// waitForActive waits until each node has learned of the given number of active requests at the
+// others.
+func waitForActive(t *testing.T, nodes []*node, active int64) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		for _, n := range nodes {
@@ -111,25 +113,25 @@
 			}
 		}
 		return true
-	}, patience, 5*time.Millisecond)
+	}, testTimeout, 5*time.Millisecond)
 }
 
-// Each gateway of a small fleet knows what all others use.
+// Each gateway of a small fleet learns the usage of all others.
 func TestSmallFleet(t *testing.T) {
 	t.Parallel()
 	all := start(t, 2, 3, 0)
-	know(t, all, 5)
+	waitForActive(t, all, 5)
 	all[0].active.Store(4)
 	all[0].News()
-	know(t, all[1:], 8)
+	waitForActive(t, all[1:], 8)
 }
 
-// Each gateway of a large fleet knows what all others use, those of other halls by sums,
-// each counted once; and goes on doing so when the one that speaks for a hall ends.
+// Each gateway of a large fleet learns the usage of all others, that of other halls from sums, with
+// each gateway counted once. This still holds after the delegate of a hall has ended.
 func TestLargeFleet(t *testing.T) {
 	t.Parallel()
 	all := start(t, 3, 6, 0)
-	know(t, all, 17)
+	waitForActive(t, all, 17)
 	var left []*node
 	ended := false
 	for _, n := range all {
@@ -141,16 +143,16 @@
 		left = append(left, n)
 	}
 	require.True(t, ended)
-	know(t, left, 16)
+	waitForActive(t, left, 16)
 	left[0].active.Store(5)
-	know(t, left[1:], 20)
+	waitForActive(t, left[1:], 20)
 }
 
-// Digests keep to their part of a thin link: what does not fit is dropped, and the rest
-// goes on.
-func TestDigestsKeepToTheirPartOfTheLink(t *testing.T) {
+// On a slow link, digests use no more than their share: the excess is dropped and the others are
+// still sent.
+func TestDigestsKeepToTheirShareOfTheLink(t *testing.T) {
 	t.Parallel()
 	all := start(t, 1, 14, 1)
-	require.Eventually(t, func() bool { return all[0].drops.Load() > 0 }, 2*patience, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return all[0].dropped.Load() > 0 }, 2*testTimeout, 20*time.Millisecond)
 	require.LessOrEqual(t, all[0].sent.Load(), int64(70<<10))
 }
--- a/role/gossip/scale_test.go
+++ b/role/gossip/scale_test.go
@@ -22,40 +22,40 @@
 	wire "github.com/grademill/grademill/wire/gossip"
 )
 
-// The network of the model.
+// Parameters of the simulated network.
 const (
-	// linkRate is that of the thinnest hosts, in bytes a second: 20 Mbit/s.
+	// linkRate is the bandwidth of the slowest hosts, 20 Mbit/s, in bytes per second.
 	linkRate = 20e6 / 8
-	// nearTime and farTime are how long a datagram is under way inside a hall and between
+	// hallLatency and interHallLatency are the latencies of a datagram inside a hall and between
 	// halls.
-	nearTime = 200 * time.Microsecond
-	farTime  = 750 * time.Microsecond
-	// lossShare is the part of the datagrams that is lost.
+	hallLatency      = 200 * time.Microsecond
+	interHallLatency = 750 * time.Microsecond
+	// lossShare is the share of datagrams that are lost.
 	lossShare = 0.02
-	// datagramHead is what a datagram takes beside its content, in bytes.
-	datagramHead = 42
-	// queueMost is how much may wait at a link before datagrams are dropped, in time.
-	queueMost = 100 * time.Millisecond
+	// headerBytes is the size of the headers of a datagram, in bytes.
+	headerBytes = 42
+	// maxQueueDelay is the delay in the queue of a link above which datagrams are dropped.
+	maxQueueDelay = 100 * time.Millisecond
 )
 
-// network carries datagrams between modelled hosts on a virtual clock: each host has a
-// link with a rate and a queue.
+// network carries datagrams between simulated hosts on a virtual clock. The link of each host has a
+// limited rate and a queue.
 type network struct {
-	mu    sync.Mutex // guards what follows
+	mu    sync.Mutex // guards the fields below
 	ports map[string]*port
 	draws *rand.Rand
 }
 
-// port is the link of one host, as a socket.
+// port is the link of one host. It implements the methods of net.PacketConn that the tests use.
 type port struct {
-	net.PacketConn // nil: what the model lacks must not be called
+	net.PacketConn // nil: methods that are not implemented panic
 
 	n       *network
 	address string
 	hall    string
 	in      chan datagram
 	closed  chan struct{}
-	// free is when the link has sent all that waits; n.mu guards it.
+	// free is when the link will have sent all queued datagrams; guarded by n.mu.
 	free time.Time
 }
 
@@ -82,20 +82,20 @@
 		p.free = now
 	}
 	other := p.n.ports[to.String()]
-	if other == nil || p.free.Sub(now) > queueMost || p.n.draws.Float64() < lossShare {
-		return len(text), nil // lost, as a datagram may be
+	if other == nil || p.free.Sub(now) > maxQueueDelay || p.n.draws.Float64() < lossShare {
+		return len(text), nil // dropped without an error, like a UDP datagram
 	}
-	p.free = p.free.Add(time.Duration(float64(len(text)+datagramHead) / linkRate * float64(time.Second)))
-	way := nearTime
+	p.free = p.free.Add(time.Duration(float64(len(text)+headerBytes) / linkRate * float64(time.Second)))
+	latency := hallLatency
 	if other.hall != p.hall {
-		way = farTime
+		latency = interHallLatency
 	}
 	from := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(p.address))
 	d := datagram{text: slices.Clone(text), from: from}
-	time.AfterFunc(p.free.Sub(now)+way, func() {
+	time.AfterFunc(p.free.Sub(now)+latency, func() {
 		select {
 		case other.in <- d:
-		default: // its reader is too slow
+		default: // the receiver's buffer is full
 		}
 	})
 	return len(text), nil
@@ -117,34 +117,34 @@
 	return nil
 }
 
-// host is a modelled gateway that uses some endpoints of its hall.
-type host struct {
+// simGateway is a simulated gateway that uses some endpoints of its hall.
+type simGateway struct {
 	gossip.Gossip
 	table peers.Table
 	uses  []string
-	// down is set while it says that its first endpoint is down; knows is when it first
-	// heard of that, in nanoseconds of Unix time.
-	down  atomic.Bool
-	knows atomic.Int64
-	sent  atomic.Int64
-	heard atomic.Int64
+	// down is set while the gateway reports its first endpoint as down; learnedAt is when the
+	// gateway first received such a report, in nanoseconds of Unix time.
+	down      atomic.Bool
+	learnedAt atomic.Int64
+	sent      atomic.Int64
+	heard     atomic.Int64
 }
 
-// counter counts what others have at one endpoint.
+// counter receives the usage of one endpoint by the other gateways.
 type counter struct {
-	h        *host
+	h        *simGateway
 	endpoint string
 }
 
 // Count implements peers.Counter.
 func (c counter) Count(s peers.Share) {
 	if s.Down > 0 {
-		c.h.knows.CompareAndSwap(0, time.Now().UnixNano())
+		c.h.learnedAt.CompareAndSwap(0, time.Now().UnixNano())
 	}
 }
 
 // Digest implements gossip.Local.
-func (h *host) Digest(_ time.Time, others map[string]peers.Share) *wire.Digest {
+func (h *simGateway) Digest(_ time.Time, others map[string]peers.Share) *wire.Digest {
 	d := new(wire.Digest)
 	add := func(endpoint string, s peers.Share) {
 		d.Uses = append(d.Uses, &wire.Use{
@@ -168,36 +168,36 @@
 }
 
 // Heard implements gossip.Local.
-func (h *host) Heard(*wire.Digest, time.Time) { h.heard.Add(1) }
+func (h *simGateway) Heard(*wire.Digest, time.Time) { h.heard.Add(1) }
 
 // Lost implements gossip.Local.
-func (h *host) Lost(*wire.Loss, time.Time) {}
+func (h *simGateway) Lost(*wire.Loss, time.Time) {}
 
 // Ended implements gossip.Local.
-func (h *host) Ended(*wire.Ends, time.Time) {}
+func (h *simGateway) Ended(*wire.Ends, time.Time) {}
 
 // Tick implements gossip.Local.
-func (h *host) Tick(time.Time) {}
+func (h *simGateway) Tick(time.Time) {}
 
-// control is what a modelled fleet's gossip costs and how soon it tells.
-type control struct {
-	// mean and most are the bytes a second that a host sends.
-	mean, most float64
-	// told is how long it took until all others of the hall knew of a loss, and toldAll
-	// until all of the fleet did.
-	told, toldAll time.Duration
+// traffic holds the cost of the exchange and the time that reports take.
+type traffic struct {
+	// mean and max are the mean and the largest number of bytes per second that a host sends.
+	mean, max float64
+	// hallDelay is the time until all others in the hall knew of a failed endpoint, fleetDelay the
+	// time until the whole fleet did.
+	hallDelay, fleetDelay time.Duration
 }
 
-// modelled plays a fleet of gateways in halls before so many endpoints.
-func modelled(t *testing.T, gateways, halls, endpoints int) control {
-	var result control
+// simulate simulates a fleet of gateways in halls that use the given number of endpoints.
+func simulate(t *testing.T, gateways, halls, endpoints int) traffic {
+	var result traffic
 	synctest.Test(t, func(t *testing.T) {
 		n := &network{ports: make(map[string]*port), draws: rand.New(rand.NewPCG(uint64(gateways), 1))}
-		var hosts []*host
+		var hosts []*simGateway
 		for i := range gateways {
-			h := new(host)
+			h := new(simGateway)
 			hall := i % halls
-			for e := hall; e < endpoints && len(h.uses) < usesEach; e += halls {
+			for e := hall; e < endpoints && len(h.uses) < usesPerGateway; e += halls {
 				h.uses = append(h.uses, fmt.Sprintf("i-%010x", e))
 			}
 			h.table.Counter = func(endpoint string) peers.Counter { return counter{h, endpoint} }
@@ -210,7 +210,7 @@
 				},
 				Sent: func(bytes int, dropped bool) {
 					if !dropped {
-						h.sent.Add(int64(bytes + datagramHead))
+						h.sent.Add(int64(bytes + headerBytes))
 					}
 				},
 			}
@@ -230,24 +230,24 @@
 		for i, h := range hosts {
 			before[i] = h.sent.Load()
 		}
-		time.Sleep(playTime)
+		time.Sleep(measureTime)
 		for i, h := range hosts {
-			rate := float64(h.sent.Load()-before[i]) / playTime.Seconds()
+			rate := float64(h.sent.Load()-before[i]) / measureTime.Seconds()
 			result.mean += rate / float64(len(hosts))
-			result.most = max(result.most, rate)
+			result.max = max(result.max, rate)
 		}
 		finder := hosts[0]
 		lost := time.Now()
 		finder.down.Store(true)
 		finder.News()
-		time.Sleep(playTime)
+		time.Sleep(measureTime)
 		for _, h := range hosts[1:] {
-			at := h.knows.Load()
-			require.NotZero(t, at, "%s has not heard of the loss", h.Self.Name)
+			at := h.learnedAt.Load()
+			require.NotZero(t, at, "%s has not learned of the failed endpoint", h.Self.Name)
 			took := time.Unix(0, at).Sub(lost)
-			result.toldAll = max(result.toldAll, took)
+			result.fleetDelay = max(result.fleetDelay, took)
 			if h.Self.Hall == finder.Self.Hall {
-				result.told = max(result.told, took)
+				result.hallDelay = max(result.hallDelay, took)
 			}
 		}
 		cancel()
@@ -256,19 +256,19 @@
 	return result
 }
 
-// The figures of a modelled day.
+// Parameters of a simulation.
 const (
-	// usesEach is the number of endpoints that a gateway uses at a time.
-	usesEach = 24
-	// settleTime is how long a fleet has to find itself, playTime how long it is watched.
-	settleTime = 3 * time.Second
-	playTime   = 5 * time.Second
+	// usesPerGateway is the number of endpoints that a gateway uses at a time.
+	usesPerGateway = 24
+	// settleTime is the time in which the fleet settles, measureTime the measured time.
+	settleTime  = 3 * time.Second
+	measureTime = 5 * time.Second
 )
 
-// What a host tells others does not grow with the fleet, and digests tell of a loss
-// everywhere within a time that grows with the hall alone, though datagrams are lost. The
-// bounds are those of the model's figures, with a margin; docs/CAPACITY.md has them.
-func TestControlDoesNotGrowWithTheFleet(t *testing.T) {
+// The control traffic of a host does not grow with the fleet, and all gateways learn of a failed
+// endpoint within a time that depends on the size of the hall alone, although datagrams are lost.
+// The bounds are the simulated values listed in docs/CAPACITY.md plus a margin.
+func TestControlTrafficDoesNotGrowWithTheFleet(t *testing.T) {
 	cases := []struct {
 		gateways, halls, endpoints int
 		mean, most                 float64
@@ -280,13 +280,13 @@
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprint(c.gateways), func(t *testing.T) {
-			got := modelled(t, c.gateways, c.halls, c.endpoints)
-			t.Logf("%d gateways: %.1f kB a second each, %.1f at most; a loss is known in the hall after %v, everywhere after %v",
-				c.gateways, got.mean/1e3, got.most/1e3, got.told, got.toldAll)
+			got := simulate(t, c.gateways, c.halls, c.endpoints)
+			t.Logf("%d gateways: %.1f kB per second each, %.1f at most; a failed endpoint is known in the hall after %v, everywhere after %v",
+				c.gateways, got.mean/1e3, got.max/1e3, got.hallDelay, got.fleetDelay)
 			require.LessOrEqual(t, got.mean, c.mean)
-			require.LessOrEqual(t, got.most, c.most)
-			require.LessOrEqual(t, got.told, c.told)
-			require.LessOrEqual(t, got.toldAll, c.toldAll)
+			require.LessOrEqual(t, got.max, c.most)
+			require.LessOrEqual(t, got.hallDelay, c.told)
+			require.LessOrEqual(t, got.fleetDelay, c.toldAll)
 		})
 	}
 }
