--- a/role/gossip/gossip.go
+++ b/role/gossip/gossip.go
@@ -148,13 +148,13 @@
 		s.Log.Error().Err(err).Msg("gossip socket not opened: no digests are received from other gateways")
 		return
 	}
-	defer socket.Close() //nolint:errcheck // unread datagrams may be lost
+	defer socket.Close() //nolint:errcheck // datagrams that are not read
 	s.socket.Store(&socket)
 	go s.receive(socket)
 	s.started = time.Now()
 	for ctx.Err() == nil {
-		every := s.round(time.Now())
-		s.wait(ctx, every)
+		interval := s.round(time.Now())
+		s.wait(ctx, interval)
 	}
 	s.farewell()
 }
@@ -168,15 +168,15 @@
 	o := overlay.Overlay{Self: s.Self, Others: s.Peers.Members(s.Self.Name), FlatUpTo: s.FlatUpTo}
 	o.Self.Cut = d.GetCut()
 	s.current.Store(&o)
-	every := hallInterval * time.Duration(max(len(o.Audience()), overlay.FlatSize)) / overlay.FlatSize
-	s.interval.Store(int64(every))
+	interval := hallInterval * time.Duration(max(len(o.Audience()), overlay.FlatSize)) / overlay.FlatSize
+	s.interval.Store(int64(interval))
 	s.Peers.Expire(now, missedDigests, hallInterval)
 	s.send(&wire.Packet{Digest: d}, o.Audience()...)
-	settled := now.Sub(s.started) >= settleRounds*every // otherwise no peer has been heard yet
+	settled := now.Sub(s.started) >= settleRounds*interval // otherwise no peer has been heard yet
 	if settled && o.Delegate() && !now.Before(s.sumsDue) {
 		s.sumsDue = now.Add(s.sendSums(o, now))
 	}
-	return every
+	return interval
 }
 
 // Every returns the time between two digests to the gateways of the own hall.
--- a/role/gossip/gossip_test.go
+++ b/role/gossip/gossip_test.go
@@ -24,13 +24,13 @@
 // node is a gateway that uses one endpoint.
 type node struct {
 	gossip.Gossip
-	table   peers.Table
-	active  atomic.Int64
-	others  atomic.Int64
-	heard   atomic.Int64
-	sent    atomic.Int64
-	dropped atomic.Int64
-	stop    func()
+	table        peers.Table
+	active       atomic.Int64
+	others       atomic.Int64
+	heard        atomic.Int64
+	sent         atomic.Int64
+	droppedBytes atomic.Int64
+	stop         func()
 }
 
 // Count implements peers.Counter.
@@ -68,7 +68,7 @@
 				Incarnation: 1, Local: n, Peers: &n.table, LinkRate: rate, Log: zerolog.Nop(),
 				Sent: func(bytes int, dropped bool) {
 					if dropped {
-						n.dropped.Add(int64(bytes))
+						n.droppedBytes.Add(int64(bytes))
 					} else {
 						n.sent.Add(int64(bytes))
 					}
@@ -153,6 +153,6 @@
 func TestDigestsKeepToTheirShareOfTheLink(t *testing.T) {
 	t.Parallel()
 	all := start(t, 1, 14, 1)
-	require.Eventually(t, func() bool { return all[0].dropped.Load() > 0 }, 2*testTimeout, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return all[0].droppedBytes.Load() > 0 }, 2*testTimeout, 20*time.Millisecond)
 	require.LessOrEqual(t, all[0].sent.Load(), int64(70<<10))
 }
--- a/role/gossip/scale_test.go
+++ b/role/gossip/scale_test.go
@@ -181,8 +181,8 @@
 
 // traffic holds the cost of the exchange and the time that reports take.
 type traffic struct {
-	// mean and max are the mean and the largest number of bytes per second that a host sends.
-	mean, max float64
+	// mean and peak are the mean and the largest number of bytes per second that a host sends.
+	mean, peak float64
 	// hallDelay is the time until all others in the hall knew of a failed endpoint, fleetDelay the
 	// time until the whole fleet did.
 	hallDelay, fleetDelay time.Duration
@@ -234,7 +234,7 @@
 		for i, h := range hosts {
 			rate := float64(h.sent.Load()-before[i]) / measureTime.Seconds()
 			result.mean += rate / float64(len(hosts))
-			result.max = max(result.max, rate)
+			result.peak = max(result.peak, rate)
 		}
 		finder := hosts[0]
 		lost := time.Now()
@@ -271,8 +271,8 @@
 func TestControlTrafficDoesNotGrowWithTheFleet(t *testing.T) {
 	cases := []struct {
 		gateways, halls, endpoints int
-		mean, most                 float64
-		told, toldAll              time.Duration
+		mean, peak                 float64
+		hallDelay, fleetDelay      time.Duration
 	}{
 		{12, 3, 33, 30e3, 30e3, 500 * time.Millisecond, 500 * time.Millisecond},
 		{68, 5, 119, 70e3, 150e3, 800 * time.Millisecond, 1500 * time.Millisecond},
@@ -282,11 +282,11 @@
 		t.Run(fmt.Sprint(c.gateways), func(t *testing.T) {
 			got := simulate(t, c.gateways, c.halls, c.endpoints)
 			t.Logf("%d gateways: %.1f kB per second each, %.1f at most; a failed endpoint is known in the hall after %v, everywhere after %v",
-				c.gateways, got.mean/1e3, got.max/1e3, got.hallDelay, got.fleetDelay)
+				c.gateways, got.mean/1e3, got.peak/1e3, got.hallDelay, got.fleetDelay)
 			require.LessOrEqual(t, got.mean, c.mean)
-			require.LessOrEqual(t, got.max, c.most)
-			require.LessOrEqual(t, got.hallDelay, c.told)
-			require.LessOrEqual(t, got.fleetDelay, c.toldAll)
+			require.LessOrEqual(t, got.peak, c.peak)
+			require.LessOrEqual(t, got.hallDelay, c.hallDelay)
+			require.LessOrEqual(t, got.fleetDelay, c.fleetDelay)
 		})
 	}
 }
