--- a/role/announcer/announcer.go
+++ b/role/announcer/announcer.go
@@ -1,5 +1,7 @@
-// Package announcer keeps a gateway's address in the store, and learns those of the
-// others from there.
+// Package announcer publishes the address of a gateway in the store and learns the addresses of the
+// other gateways from there.
+//
+// Run an [Announcer] per gateway, and pass it each change of the store with Put and Gone.
 package announcer
 
 import (
@@ -20,97 +22,99 @@
 	"github.com/grademill/grademill/wire/gossip"
 )
 
-// The figures of being announced.
+// Intervals and limits.
 const (
-	// lookEvery is the time between two looks whether something is to be done, and between two calls
-	// while they fail.
-	lookEvery = 2 * time.Second
-	// goneSpread is how long at most a gateway whose announcement has gone waits: those of a whole hall
-	// may go together.
-	goneSpread = time.Second
-	// readyEvery is how often a gateway that starts looks whether it has read the store.
-	readyEvery = 20 * time.Millisecond
-	// silentFor is how long a gateway must have been silent for its announcement to be removed. One that
-	// has only been cut off from the others announces itself again.
-	silentFor = 30 * time.Second
-	// maxRemoved is the number of keys that the store takes in one call.
+	// checkInterval is the time between two checks of the announcements, and so between two
+	// attempts of a failing call.
+	checkInterval = 2 * time.Second
+	// maxRestoreDelay bounds the random delay before a gateway restores its removed announcement:
+	// those of a whole hall may be removed together.
+	maxRestoreDelay = time.Second
+	// readyInterval is the time between two checks whether a starting gateway has read the store.
+	readyInterval = 20 * time.Millisecond
+	// pruneAfter is how long a gateway must have been silent before its announcement is removed. A
+	// gateway that has only been cut off from the others announces itself again.
+	pruneAfter = 30 * time.Second
+	// maxRemoved is the number of keys that the store accepts in one call.
 	maxRemoved = 32
 )
 
-// prefix and a name are the key of an announcement.
+// prefix, followed by the name of a gateway, is the key of its announcement.
 const prefix = "grademill/gateways/"
 
-// Store is what an Announcer needs of the store.
+// Store holds the announcements.
 type Store interface {
-	// Put writes if the condition holds and returns the new revision.
+	// Put writes if the condition holds, and returns the new revision.
 	Put(ctx context.Context, w kv.Write) (uint64, error)
-	// Remove removes pairs that are still at their revisions, all or none.
+	// Remove removes pairs if all are still at their revisions, otherwise none.
 	Remove(ctx context.Context, pairs []kv.Pair) error
 }
 
-// Announcer announces one gateway, and removes the announcements of others that have ended. These have no
-// lease: each renewal would be a call, and digests tell of an end. Set the exported fields before Run.
+// Announcer announces one gateway and removes the announcements of others that have ended.
+// Announcements have no lease: each renewal would be a call, and digests show which gateways have
+// ended. Set the exported fields before Run.
 type Announcer struct {
-	// Self is the gateway.
+	// Self is the announced gateway.
 	Self  overlay.Member
 	Store Store
-	// Peers are told of the others.
+	// Peers receives the announced gateways.
 	Peers *peers.Table
-	// Overlay returns the fleet of the moment.
+	// Overlay returns the current fleet.
 	Overlay func() overlay.Overlay
-	// Ready is set once the store has been read, Ending once the gateway is about to
-	// stop.
+	// Ready is set once the store has been read, Ending once the gateway is about to stop.
 	Ready, Ending *atomic.Bool
 	Log           zerolog.Logger
 
-	mu sync.Mutex // guards what follows
-	// gone wakes Run when the own announcement has gone, nil before Run.
-	gone chan struct{}
-	// known are the announcements in the store, without their values.
+	mu sync.Mutex // guards the fields below
+	// removed wakes Run when the gateway's own announcement has been removed; nil before Run.
+	removed chan struct{}
+	// known holds the announcements in the store, without their values.
 	known map[string]kv.Pair
-	// written is what the own announcement says, nil for none.
+	// written is the content of the gateway's own announcement in the store, nil for none.
 	written *gossip.Announcement
 }
 
-// Run keeps the gateway announced until ctx ends.
+// Run keeps the gateway announced until ctx ends or Ending is set, then removes its announcement.
 func (a *Announcer) Run(ctx context.Context) {
 	gone := a.init()
 	for !a.Ready.Load() && ctx.Err() == nil {
-		pause.For(ctx, readyEvery)
+		pause.For(ctx, readyInterval)
 	}
 	for ctx.Err() == nil && !a.Ending.Load() {
 		a.announce(ctx)
 		a.prune(ctx, time.Now())
-		a.rest(ctx, gone)
+		a.waitForCheck(ctx, gone)
 	}
 	if own, _ := a.own(); own.Revision != 0 {
 		if err := a.Store.Remove(context.WithoutCancel(ctx), []kv.Pair{own}); err != nil {
-			a.Log.Info().Err(err).Msg("the announcement of this gateway is left for others to remove")
+			a.Log.Info().Err(err).Msg("announcement not removed, left for other gateways to remove")
 		}
 	}
 }
 
-// init returns what wakes Run when the own announcement has gone.
+// init returns the channel that wakes Run when the gateway's own announcement has been removed.
 func (a *Announcer) init() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.gone = make(chan struct{}, 1)
-	return a.gone
+	a.removed = make(chan struct{}, 1)
+	return a.removed
 }
 
-// rest waits until the next look, which comes soon when the own announcement has gone.
-func (a *Announcer) rest(ctx context.Context, gone <-chan struct{}) {
-	timer := time.NewTimer(lookEvery)
+// waitForCheck waits until the next check. After the removal of the gateway's own announcement it
+// waits for at most maxRestoreDelay.
+func (a *Announcer) waitForCheck(ctx context.Context, gone <-chan struct{}) {
+	timer := time.NewTimer(checkInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
 	case <-gone:
-		pause.For(ctx, time.Duration(rand.Float64()*float64(goneSpread)))
+		pause.For(ctx, time.Duration(rand.Float64()*float64(maxRestoreDelay)))
 	}
 }
 
-// announce writes the own announcement, unless the store holds it, from a former life too.
+// announce writes the gateway's own announcement unless the store has it already, for example from
+// a former incarnation.
 func (a *Announcer) announce(ctx context.Context) {
 	own, written := a.own()
 	text := &gossip.Announcement{Address: a.Self.Address, Hall: a.Self.Hall, LinkMegabits: a.Self.LinkMegabits}
@@ -130,11 +134,12 @@
 	a.note(kv.Pair{Key: a.key(), Revision: revision}, text)
 }
 
-// prune removes the announcements of gateways that have ended, if that is for this one to do.
+// prune removes the announcements of gateways that have ended, if this gateway is responsible for
+// that.
 func (a *Announcer) prune(ctx context.Context, now time.Time) {
-	silent := a.Peers.Silent(now, silentFor)
+	silent := a.Peers.Silent(now, pruneAfter)
 	if len(silent) == 0 || 2*a.Peers.Heard() < len(silent) {
-		return // who hears few of the others is itself cut off
+		return // a gateway that hears few of the others is itself cut off
 	}
 	o := a.Overlay()
 	var ended []kv.Pair
@@ -154,13 +159,12 @@
 		Msg("announcements of gateways that have ended are removed")
 }
 
-// key is that of the own announcement.
+// key returns the key of the gateway's own announcement.
 func (a *Announcer) key() string {
 	return prefix + a.Self.Name
 }
 
-// Put takes in a pair of the store, and reports whether it is the announcement of a
-// gateway.
+// Put handles a pair of the store, and reports whether it is the announcement of a gateway.
 func (a *Announcer) Put(p kv.Pair) bool {
 	rest, ok := strings.CutPrefix(p.Key, prefix)
 	if !ok {
@@ -168,7 +172,7 @@
 	}
 	var text gossip.Announcement
 	if err := proto.Unmarshal(p.Value, &text); err != nil {
-		a.Log.Warn().Err(err).Str("key", p.Key).Msg("announcement of a gateway not understood")
+		a.Log.Warn().Err(err).Str("key", p.Key).Msg("announcement not decoded")
 		return true
 	}
 	name, _, _ := strings.Cut(rest, "/")
@@ -179,7 +183,7 @@
 	return true
 }
 
-// Gone takes in that a key has gone at a revision, and reports whether it was the announcement of a
+// Gone handles the removal of a key at a revision, and reports whether it was the announcement of a
 // gateway.
 func (a *Announcer) Gone(key string, revision uint64) bool {
 	if !strings.HasPrefix(key, prefix) {
@@ -191,21 +195,22 @@
 	return true
 }
 
-// Known returns the number of gateways that the store names.
+// Known returns the number of gateways that are announced in the store.
 func (a *Announcer) Known() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.known)
 }
 
-// own returns the own announcement in the store, the zero pair and nil for none.
+// own returns the gateway's own announcement in the store: its pair and content, or the zero pair
+// and nil if there is none.
 func (a *Announcer) own() (kv.Pair, *gossip.Announcement) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.known[a.key()], a.written
 }
 
-// note notes an announcement in the store.
+// note records an announcement in the store, unless a newer one is known.
 func (a *Announcer) note(p kv.Pair, text *gossip.Announcement) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -221,8 +226,8 @@
 	}
 }
 
-// forget notes that an announcement has gone at a revision, and reports whether it has not been written
-// again since.
+// forget records that an announcement was removed at a revision. It reports false if the
+// announcement has been written again since.
 func (a *Announcer) forget(key string, revision uint64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -235,8 +240,8 @@
 	}
 	a.written = nil
 	select {
-	case a.gone <- struct{}{}:
-	default: // before Run, or Run has yet to take the last one in
+	case a.removed <- struct{}{}:
+	default: // Run has not started, or has not handled the last removal yet
 	}
 	return true
 }
--- a/role/announcer/announcer_test.go
+++ b/role/announcer/announcer_test.go
@@ -24,20 +24,20 @@
 
 const prefix = "grademill/gateways/"
 
-// store keeps announcements, tells gateways of them, and counts the calls by kind.
+// store holds announcements, notifies gateways of changes, and counts the calls by kind.
 type store struct {
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	revision uint64
 	pairs    map[string]kv.Pair
 	calls    map[string]int
-	told     []*announcer.Announcer
-	// lost has the next write done and its answer lost.
-	lost bool
+	watchers []*announcer.Announcer
+	// loseAnswer makes the next write succeed but its answer fail.
+	loseAnswer bool
 }
 
 func newStore() *store { return &store{pairs: make(map[string]kv.Pair), calls: make(map[string]int)} }
 
-var errLost = errors.New("the answer is lost")
+var errLost = errors.New("answer lost")
 
 func (s *store) Put(_ context.Context, w kv.Write) (uint64, error) {
 	s.mu.Lock()
@@ -49,11 +49,11 @@
 	s.revision++
 	pair := kv.Pair{Key: w.Key, Value: w.Value, Revision: s.revision}
 	s.pairs[w.Key] = pair
-	for _, a := range s.told {
+	for _, a := range s.watchers {
 		a.Put(pair)
 	}
-	if s.lost {
-		s.lost = false
+	if s.loseAnswer {
+		s.loseAnswer = false
 		return 0, errLost
 	}
 	return s.revision, nil
@@ -78,13 +78,13 @@
 func (s *store) remove(key string) {
 	s.revision++
 	delete(s.pairs, key)
-	for _, a := range s.told {
+	for _, a := range s.watchers {
 		a.Gone(key, s.revision)
 	}
 }
 
-// look returns the names that are announced, and the calls since the last look.
-func (s *store) look() (names []string, calls map[string]int) {
+// check returns the names that are announced, and the calls since the last check.
+func (s *store) check() (names []string, calls map[string]int) {
 	synctest.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,21 +96,21 @@
 	return names, calls
 }
 
-// life is one life of a gateway.
-type life struct {
+// incarnation is one incarnation of a gateway.
+type incarnation struct {
 	*announcer.Announcer
 	s      *store
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-// begin begins a life of a gateway of a hall that has read the store.
-func begin(t *testing.T, s *store, name, hall, address string) *life {
+// startGateway starts an incarnation of a gateway that has read the store.
+func startGateway(t *testing.T, s *store, name, hall, address string) *incarnation {
 	var ready, ending atomic.Bool
 	ready.Store(true)
 	self := overlay.Member{Name: name, Address: address, Hall: hall}
 	table := new(peers.Table)
-	l := &life{s: s, done: make(chan struct{}), Announcer: &announcer.Announcer{
+	l := &incarnation{s: s, done: make(chan struct{}), Announcer: &announcer.Announcer{
 		Self: self, Store: s, Peers: table, Ready: &ready, Ending: &ending, Log: zerolog.Nop(),
 		Overlay: func() overlay.Overlay {
 			return overlay.Overlay{Self: self, Others: table.Members(name), FlatUpTo: 2}
@@ -120,7 +120,7 @@
 	for _, p := range s.pairs {
 		require.True(t, l.Put(p))
 	}
-	s.told = append(s.told, l.Announcer)
+	s.watchers = append(s.watchers, l.Announcer)
 	s.mu.Unlock()
 	ctx, cancel := context.WithCancel(t.Context())
 	l.cancel = cancel
@@ -131,28 +131,29 @@
 	return l
 }
 
-// stop ends the life as a planned stop does.
-func (l *life) stop() {
+// stop stops the incarnation gracefully.
+func (l *incarnation) stop() {
 	l.cancel()
 	<-l.done
 }
 
-// kill ends the life without a word to the store.
-func (l *life) kill() {
+// kill ends the incarnation without any call to the store.
+func (l *incarnation) kill() {
 	l.s.mu.Lock()
-	l.s.told = slices.DeleteFunc(l.s.told, func(a *announcer.Announcer) bool { return a == l.Announcer })
+	l.s.watchers = slices.DeleteFunc(l.s.watchers, func(a *announcer.Announcer) bool { return a == l.Announcer })
 	pairs, revision := maps.Clone(l.s.pairs), l.s.revision
-	told := l.s.told
-	l.s.told = nil
+	watchers := l.s.watchers
+	l.s.watchers = nil
 	l.s.mu.Unlock()
 	l.stop()
 	l.s.mu.Lock()
 	defer l.s.mu.Unlock()
-	l.s.pairs, l.s.revision, l.s.told = pairs, revision, told
+	l.s.pairs, l.s.revision, l.s.watchers = pairs, revision, watchers
 }
 
-// hear has every life hear the digests of the others, and one that speaks for a hall where one is named.
-func hear(all []*life, number uint64, halls ...string) {
+// hear delivers the digests of the gateways to each other within a hall, and the sums of the named
+// other halls to all.
+func hear(all []*incarnation, number uint64, halls ...string) {
 	now := time.Now()
 	for _, l := range all {
 		for _, other := range all {
@@ -168,31 +169,31 @@
 	}
 }
 
-// pass lets time pass in which the lives hear each other.
-func pass(d time.Duration, all []*life, halls ...string) {
+// pass lets time pass while the incarnations hear each other.
+func pass(d time.Duration, all []*incarnation, halls ...string) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(time.Second) {
 		hear(all, uint64(time.Now().UnixNano()), halls...)
 	}
 }
 
-// An announcement is one call, and a restart none.
-func TestAnnouncementIsOneCall(t *testing.T) {
+// An announcement takes one call, and a restart at the same address none.
+func TestAnnouncementTakesOneCall(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
-		l := begin(t, s, "a", "north", "10.0.0.1:7340")
+		l := startGateway(t, s, "a", "north", "10.0.0.1:7340")
 		time.Sleep(time.Minute)
-		names, calls := s.look()
+		names, calls := s.check()
 		require.Equal(t, []string{"a"}, names)
 		require.Equal(t, map[string]int{"write": 1}, calls)
 		l.kill()
-		s.look()
-		l = begin(t, s, "a", "north", "10.0.0.1:7340")
+		s.check()
+		l = startGateway(t, s, "a", "north", "10.0.0.1:7340")
 		time.Sleep(time.Minute)
-		_, calls = s.look()
+		_, calls = s.check()
 		require.Empty(t, calls)
 		l.stop()
-		names, _ = s.look()
+		names, _ = s.check()
 		require.Empty(t, names)
 	})
 }
@@ -201,56 +202,57 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
-		begin(t, s, "a", "north", "10.0.0.1:7340").kill()
-		l := begin(t, s, "a", "north", "10.0.0.2:7340")
+		startGateway(t, s, "a", "north", "10.0.0.1:7340").kill()
+		l := startGateway(t, s, "a", "north", "10.0.0.2:7340")
 		time.Sleep(time.Second)
-		s.look()
+		s.check()
 		require.Contains(t, string(s.pairs[prefix+"a"].Value), "10.0.0.2:7340")
 		l.stop()
 	})
 }
 
-// A write whose answer was lost is not made again once the store has told of it.
-func TestWriteWithoutAnAnswerIsFound(t *testing.T) {
+// A write whose answer was lost is not repeated once the store has reported the change.
+func TestWriteWithLostAnswerIsNotRepeated(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
-		s.lost = true
-		l := begin(t, s, "a", "north", "10.0.0.1:7340")
+		s.loseAnswer = true
+		l := startGateway(t, s, "a", "north", "10.0.0.1:7340")
 		time.Sleep(10 * time.Second)
-		names, calls := s.look()
+		names, calls := s.check()
 		require.Equal(t, []string{"a"}, names)
 		require.Equal(t, map[string]int{"write": 1}, calls)
 		l.stop()
 	})
 }
 
-// hall begins some gateways in a hall.
-func hall(t *testing.T, s *store, name string, n int) []*life {
-	var all []*life
+// startHall starts n gateways in a hall.
+func startHall(t *testing.T, s *store, name string, n int) []*incarnation {
+	var all []*incarnation
 	for i := range n {
-		all = append(all, begin(t, s, fmt.Sprint(name, "-", i), name, fmt.Sprint("10.0.0.", i)))
+		all = append(all, startGateway(t, s, fmt.Sprint(name, "-", i), name, fmt.Sprint("10.0.0.", i)))
 	}
 	time.Sleep(time.Second)
 	return all
 }
 
-// The announcement of a gateway that has ended is removed by one other, half a minute later.
+// The announcement of a gateway that has ended is removed by one other gateway, after half a
+// minute.
 func TestAnnouncementOfAnEndedGatewayIsRemoved(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
-		all := hall(t, s, "north", 5)
+		all := startHall(t, s, "north", 5)
 		pass(10*time.Second, all)
 		all[2].kill()
 		rest := slices.Delete(slices.Clone(all), 2, 3)
-		s.look()
+		s.check()
 		pass(28*time.Second, rest)
-		names, calls := s.look()
-		require.Len(t, names, 5, "it may have been cut off")
+		names, calls := s.check()
+		require.Len(t, names, 5, "removed too early: the gateway may only be cut off")
 		require.Empty(t, calls)
 		pass(10*time.Second, rest)
-		names, calls = s.look()
+		names, calls = s.check()
 		require.Equal(t, []string{"north-0", "north-1", "north-3", "north-4"}, names)
 		require.Equal(t, map[string]int{"removal": 1}, calls)
 		for _, l := range rest {
@@ -259,19 +261,19 @@
 	})
 }
 
-// When a whole hall has ended, a gateway of another one removes its announcements.
+// When all gateways of a hall have ended, a gateway of another hall removes their announcements.
 func TestAnnouncementsOfAnEndedHallAreRemoved(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
-		north, south := hall(t, s, "north", 4), hall(t, s, "south", 4)
+		north, south := startHall(t, s, "north", 4), startHall(t, s, "south", 4)
 		pass(10*time.Second, north, "south")
 		for _, l := range south {
 			l.kill()
 		}
-		s.look()
+		s.check()
 		pass(60*time.Second, north)
-		names, calls := s.look()
+		names, calls := s.check()
 		require.Equal(t, []string{"north-0", "north-1", "north-2", "north-3"}, names)
 		require.Equal(t, map[string]int{"removal": 1}, calls)
 		for _, l := range north {
@@ -280,21 +282,21 @@
 	})
 }
 
-// A gateway that is cut off from all others, but not from the store, takes none of them for ended. The
-// others remove its announcement in the end, and it announces itself again.
-func TestGatewayThatIsCutOffRemovesNobody(t *testing.T) {
+// A gateway that is cut off from all others, but not from the store, does not consider them ended.
+// The others remove its announcement in the end, and it announces itself again.
+func TestIsolatedGatewayRemovesNoAnnouncements(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
-		all := hall(t, s, "north", 5)
+		all := startHall(t, s, "north", 5)
 		pass(10*time.Second, all)
-		s.look()
+		s.check()
 		for range 45 {
 			hear(all[1:], uint64(time.Now().UnixNano()))
 			hear(all[:1], uint64(time.Now().UnixNano()))
 			time.Sleep(time.Second)
 		}
-		names, calls := s.look()
+		names, calls := s.check()
 		require.Len(t, names, 5)
 		require.Equal(t, map[string]int{"removal": 1, "write": 1}, calls)
 		for _, l := range all {
