--- a/role/gate/gate.go
+++ b/role/gate/gate.go
@@ -1,6 +1,8 @@
-// Package gate admits requests: it holds each until there is room for it, in
-// the order of priority and fair share, and refuses early what would wait too
-// long.
+// Package gate queues requests until there is room for them, and admits them in the order of
+// priority and of the fair shares of teams. It refuses at once a request whose expected wait is
+// longer than its deadline allows.
+//
+// Each request calls Enter on a shared [Gate]; whoever frees room calls Poke.
 package gate
 
 import (
@@ -14,37 +16,36 @@
 	"github.com/grademill/grademill/decide/rate"
 )
 
-// Answer is what a try for room found.
+// Answer is the result of an attempt to take room.
 type Answer int
 
-// The answers.
+// The possible answers.
 const (
-	// Granted means that the room is taken.
+	// Granted means that room was taken.
 	Granted Answer = iota
-	// Full means that there is none now.
+	// Full means that there is no room now.
 	Full
-	// Never means that waiting is no use.
+	// Never means that waiting cannot help.
 	Never
 )
 
-// Ticket is a request that wants in. G is what it gets, such as a chain.
+// Ticket describes a request to the gate. G is the type of its grant, such as a chain.
 type Ticket[G any] struct {
-	// Lane is the queue, such as the service: requests in one lane wait for the
-	// same room.
+	// Lane names the queue, such as the service: requests in one lane wait for the same room.
 	Lane string
-	// Team, Weight, Priority and Cost order the lane.
+	// Team, Weight, Priority and Cost determine the order within the lane.
 	Team     string
 	Weight   float64
 	Priority int
 	Cost     float64
-	// Try takes room if there is some. It is called with the gate's lock held.
+	// Try takes room if there is any. It is called with the gate's lock held.
 	Try func() (G, Answer)
 }
 
-// Gate admits requests. Set the exported fields before the first use. It is
-// safe for concurrent use.
+// Gate admits requests. Set the exported fields before the first use. It is safe for concurrent
+// use.
 type Gate[G any] struct {
-	// MaxQueue is the number of requests that wait in one lane at most.
+	// MaxQueue is the maximum number of requests that wait in one lane.
 	MaxQueue int
 
 	mu    sync.Mutex
@@ -53,7 +54,7 @@
 
 type lane[G any] struct {
 	queue fair.Queue[*waiter[G]]
-	// admitted is the rate of what does not wait any more.
+	// admitted is the rate of admitted cost.
 	admitted rate.Meter
 }
 
@@ -67,14 +68,14 @@
 	report *outcome.Report
 }
 
-// The bounds of the time after which a refused caller may come back.
+// Bounds of the Retry-After delay of a refused request.
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = time.Minute
 )
 
-// Enter waits for room. It returns a NotRun report when the lane is full, when
-// the wait would outlast ctx, when ctx ends, or when there is no room at all.
+// Enter waits until Try grants room. It returns a NotRun report if the lane is full, if the
+// expected wait is longer than ctx allows, if ctx ends, or if Try answers Never.
 func (g *Gate[G]) Enter(ctx context.Context, t Ticket[G]) (G, *outcome.Report) {
 	var zero G
 	w := &waiter[G]{ticket: t, result: make(chan result[G], 1)}
@@ -98,7 +99,7 @@
 	}
 }
 
-// Poke admits what there is room for, in all lanes.
+// Poke admits the queued requests for which there is room, in all lanes.
 func (g *Gate[G]) Poke() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -107,7 +108,7 @@
 	}
 }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of queued requests in all lanes.
 func (g *Gate[G]) Waiting() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -118,7 +119,7 @@
 	return n
 }
 
-// Admitted returns how much is admitted to a lane in a second, 0 while that is not known.
+// Admitted returns the cost that is admitted to a lane per second, 0 while it is unknown.
 func (g *Gate[G]) Admitted(lane string) float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -137,8 +138,8 @@
 	return l
 }
 
-// abandon takes a request out whose context has ended. A grant that came at
-// the same moment is returned: the caller notices the context itself.
+// abandon removes a request whose context has ended. A grant that was made at the same moment is
+// returned: the caller checks the context itself.
 func (g *Gate[G]) abandon(l *lane[G], item *fair.Item[*waiter[G]]) (G, *outcome.Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -150,7 +151,7 @@
 	return r.grant, r.report
 }
 
-// grant admits from the front of the queue while there is room.
+// grant admits requests from the front of the queue while there is room.
 func (l *lane[G]) grant() {
 	for item := l.queue.Peek(); item != nil; item = l.queue.Peek() {
 		grant, answer := item.Value.ticket.Try()
@@ -168,8 +169,8 @@
 	}
 }
 
-// wait returns how long a new request of a priority would wait, behind those that are
-// as urgent or more; false while that is not known.
+// wait estimates how long a new request of a priority would wait behind those of the same or a
+// higher priority. It returns false while the rate is unknown.
 func (l *lane[G]) wait(priority int) (time.Duration, bool) {
 	perSecond := l.admitted.PerSecond(time.Now())
 	if perSecond <= 0 {
@@ -178,13 +179,15 @@
 	return time.Duration(l.queue.Cost(priority) / perSecond * float64(time.Second)), true
 }
 
-// retryAfter returns when a refused caller may come back: once all that waits is in.
+// retryAfter returns the Retry-After delay of a refused request: the estimated time until all
+// queued requests are admitted.
 func (l *lane[G]) retryAfter() time.Duration {
 	wait, _ := l.wait(math.MinInt)
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// tooLate returns a refusal when the wait of a request of a priority would outlast ctx.
+// tooLate returns a refusal if the estimated wait of a request of a priority is longer than ctx
+// allows, otherwise nil.
 func (l *lane[G]) tooLate(ctx context.Context, priority int) *outcome.Report {
 	deadline, bounded := ctx.Deadline()
 	wait, known := l.wait(priority)
@@ -194,7 +197,7 @@
 	return outcome.Refuse(outcome.Overloaded, "the wait would outlast the deadline", l.retryAfter())
 }
 
-// refuse tells a displaced request.
+// refuse refuses a request that was displaced from the queue.
 func (l *lane[G]) refuse(item *fair.Item[*waiter[G]]) {
 	item.Value.result <- result[G]{report: outcome.Refuse(outcome.Overloaded, "the queue is full", l.retryAfter())}
 }
--- a/role/gate/gate_test.go
+++ b/role/gate/gate_test.go
@@ -13,14 +13,14 @@
 	"github.com/grademill/grademill/role/gate"
 )
 
-// room is seats that requests take one of.
-type room struct {
+// slots is a number of slots, of which each request takes one.
+type slots struct {
 	mu    sync.Mutex
 	free  int
 	never bool
 }
 
-func (r *room) try() (int, gate.Answer) {
+func (r *slots) try() (int, gate.Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
@@ -33,19 +33,19 @@
 	return 1, gate.Granted
 }
 
-func (r *room) leave(g *gate.Gate[int]) {
+func (r *slots) release(g *gate.Gate[int]) {
 	r.mu.Lock()
 	r.free++
 	r.mu.Unlock()
 	g.Poke()
 }
 
-func (r *room) ticket(team string) gate.Ticket[int] {
+func (r *slots) ticket(team string) gate.Ticket[int] {
 	return gate.Ticket[int]{Lane: "m", Team: team, Weight: 1, Cost: 1, Try: r.try}
 }
 
-// fill enters until all is taken.
-func (r *room) fill(t *testing.T, g *gate.Gate[int]) {
+// takeAll takes all free slots.
+func (r *slots) takeAll(t *testing.T, g *gate.Gate[int]) {
 	for range r.free {
 		_, report := g.Enter(context.Background(), r.ticket("a"))
 		require.Nil(t, report)
@@ -55,7 +55,7 @@
 func TestWaitsForRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &gate.Gate[int]{MaxQueue: 10}
-		r := &room{free: 1}
+		r := &slots{free: 1}
 		_, report := g.Enter(context.Background(), r.ticket("a"))
 		require.Nil(t, report)
 		entered := make(chan *outcome.Report)
@@ -65,14 +65,14 @@
 		}()
 		synctest.Wait()
 		require.Equal(t, 1, g.Waiting())
-		r.leave(g)
+		r.release(g)
 		require.Nil(t, <-entered)
 		require.Zero(t, g.Waiting())
 	})
 }
 
-// A request that is given up gets its final answer at once, with when to come
-// back, and not at its deadline.
+// A refused request gets its final answer at once, with a Retry-After delay, and not at its
+// deadline.
 func TestRefusalsComeAtOnce(t *testing.T) {
 	cases := map[string]struct {
 		queue int
@@ -89,21 +89,21 @@
 				ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 				defer cancel()
 				start := time.Now()
-				_, report := g.Enter(ctx, (&room{never: c.never}).ticket("a"))
+				_, report := g.Enter(ctx, (&slots{never: c.never}).ticket("a"))
 				require.NotNil(t, report)
 				require.Equal(t, c.code, report.Code)
 				require.Equal(t, outcome.NotRun, report.Kind)
 				require.Positive(t, report.RetryAfter)
-				require.Equal(t, start, time.Now(), "no virtual time has passed")
+				require.Equal(t, start, time.Now(), "virtual time has passed before the refusal")
 			})
 		})
 	}
 }
 
-func TestFullQueueRefusesWhoIsFurthestBehind(t *testing.T) {
+func TestFullQueueRefusesTheTeamFurthestBeyondItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &gate.Gate[int]{MaxQueue: 2}
-		r := new(room)
+		r := new(slots)
 		refused := make(chan string, 8)
 		enter := func(team string) {
 			if _, report := g.Enter(context.Background(), r.ticket(team)); report != nil {
@@ -115,8 +115,8 @@
 			synctest.Wait()
 		}
 		require.Equal(t, "flood", <-refused)
-		r.leave(g)
-		r.leave(g)
+		r.release(g)
+		r.release(g)
 		synctest.Wait()
 		require.Empty(t, refused)
 	})
@@ -127,75 +127,75 @@
 		g := &gate.Gate[int]{MaxQueue: 2}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_, report := g.Enter(ctx, new(room).ticket("a"))
+		_, report := g.Enter(ctx, new(slots).ticket("a"))
 		require.Equal(t, outcome.DeadlineOver, report.Code)
 		require.Equal(t, outcome.NotRun, report.Kind)
 		require.Zero(t, g.Waiting())
 	})
 }
 
-// With a steady stream of leavers, who would wait beyond the deadline is refused
-// at once, and a pause in the stream does not make the gate refuse everyone.
-func TestRefusesWhatWouldComeTooLate(t *testing.T) {
+// While requests are admitted steadily, a request whose estimated wait is longer than its deadline
+// allows is refused at once. A pause in admissions does not make the gate refuse all requests.
+func TestRefusesRequestsThatWouldMissTheirDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &gate.Gate[int]{MaxQueue: 1000}
-		r := &room{free: 100}
-		r.fill(t, g)
+		r := &slots{free: 100}
+		r.takeAll(t, g)
 		var group sync.WaitGroup
 		for range 50 {
 			group.Go(func() { g.Enter(context.Background(), r.ticket("a")) })
 		}
 		for range 2 {
-			time.Sleep(2 * time.Second) // a pause: nobody leaves
-			r.leave(g)
+			time.Sleep(2 * time.Second) // a pause: no slot is released
+			r.release(g)
 			synctest.Wait()
 		}
-		patient, cancel := context.WithTimeout(context.Background(), time.Minute)
+		longCtx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		group.Go(func() {
-			_, report := g.Enter(patient, r.ticket("a"))
+			_, report := g.Enter(longCtx, r.ticket("a"))
 			require.Nil(t, report)
 		})
 		synctest.Wait()
-		hasty, cancelHasty := context.WithTimeout(context.Background(), 100*time.Millisecond)
-		defer cancelHasty()
+		shortCtx, cancelShort := context.WithTimeout(context.Background(), 100*time.Millisecond)
+		defer cancelShort()
 		start := time.Now()
-		_, report := g.Enter(hasty, r.ticket("a"))
+		_, report := g.Enter(shortCtx, r.ticket("a"))
 		require.Equal(t, outcome.Overloaded, report.Code)
 		require.Equal(t, start, time.Now())
 		for range 60 {
-			r.leave(g)
+			r.release(g)
 		}
 		group.Wait()
 	})
 }
 
-// Who is more urgent than all that wait would go first, and is not refused for their sake:
-// beyond capacity a line of late requests had new ones turned away that would have been
-// answered in time.
-func TestLessUrgentRequestsDoNotCountAsAhead(t *testing.T) {
+// Queued requests of a lower priority do not count in the estimated wait, since a more urgent
+// request is admitted before them. Otherwise, above capacity, a queue of late requests would make
+// the gate refuse new ones that it could have answered in time.
+func TestLessUrgentRequestsDoNotCountInTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &gate.Gate[int]{MaxQueue: 1000}
-		r := &room{free: 20}
-		r.fill(t, g)
+		r := &slots{free: 20}
+		r.takeAll(t, g)
 		var group sync.WaitGroup
 		for range 50 {
 			group.Go(func() { g.Enter(context.Background(), r.ticket("a")) })
 		}
 		time.Sleep(2 * time.Second)
-		hasty, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
+		shortCtx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		urgent := r.ticket("a")
 		urgent.Priority = 1
 		group.Go(func() {
-			_, report := g.Enter(hasty, urgent)
+			_, report := g.Enter(shortCtx, urgent)
 			require.Nil(t, report)
 		})
 		synctest.Wait()
-		r.leave(g)
+		r.release(g)
 		synctest.Wait()
 		for range 60 {
-			r.leave(g)
+			r.release(g)
 		}
 		group.Wait()
 	})
