--- a/role/drain/wait.go
+++ b/role/drain/wait.go
@@ -1,4 +1,4 @@
-// Package drain waits for a process that is leaving to become empty.
+// Package drain waits until a stopping process has no requests in flight.
 package drain
 
 import (
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// poll is how often Wait looks whether the process is empty.
-const poll = 20 * time.Millisecond
+// pollInterval is the time between two checks of inFlight.
+const pollInterval = 20 * time.Millisecond
 
-// Wait returns once inFlight is 0, when the limit is over, or when ctx ends.
+// Wait returns when inFlight returns 0, when limit has passed, or when ctx ends.
 func Wait(ctx context.Context, limit time.Duration, inFlight func() int) {
-	over := time.NewTimer(limit)
-	defer over.Stop()
-	ticker := time.NewTicker(poll)
+	timeout := time.NewTimer(limit)
+	defer timeout.Stop()
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for inFlight() > 0 {
 		select {
 		case <-ctx.Done():
 			return
-		case <-over.C:
+		case <-timeout.C:
 			return
 		case <-ticker.C:
 		}
