--- a/role/settings/file.go
+++ b/role/settings/file.go
@@ -1,4 +1,6 @@
-// Package settings reads the TOML file of a process and checks it.
+// Package settings reads the TOML settings file of a process and validates it.
+//
+// [Load] returns the settings, or an [Error] with the line and key of the first fault.
 package settings
 
 import (
@@ -15,7 +17,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Duration is a time.Duration written as text, such as "1.5s".
+// Duration is a time.Duration that is written as text, such as "1.5s".
 type Duration time.Duration
 
 // UnmarshalText parses the text of a duration.
@@ -28,7 +30,7 @@
 	return nil
 }
 
-// Or returns d, or otherwise when d is zero.
+// Or returns d, or the default otherwise if d is zero.
 func (d Duration) Or(otherwise time.Duration) time.Duration {
 	if d == 0 {
 		return otherwise
@@ -36,21 +38,21 @@
 	return time.Duration(d)
 }
 
-// File is the settings of one process.
+// File holds the settings of one process.
 type File struct {
 	// Role is "entry", "agent" or "gateway".
 	Role string `toml:"role" validate:"required,oneof=entry agent gateway"`
-	// Name is unique in the fleet.
+	// Name is the name of the process, unique in the fleet.
 	Name string `toml:"name" validate:"required,max=63,hostname_rfc1123"`
 	// Hall is the data hall of the host.
 	Hall string `toml:"hall" validate:"required,max=63"`
-	// Address is where peers reach the process.
+	// Address is the address for connections from peers.
 	Address string `toml:"address" validate:"required,hostport"`
-	// Admin is where operators and metrics are served.
+	// Admin is the address of the operators' API and of the metrics.
 	Admin string `toml:"admin" validate:"omitempty,hostport"`
 	// LogLevel is "debug", "info", "warn" or "error"; empty means "info".
 	LogLevel string `toml:"log_level" validate:"omitempty,oneof=debug info warn error"`
-	// DrainTimeout bounds how long a stop waits for requests in flight.
+	// DrainTimeout bounds how long a stopping process waits for requests in flight.
 	DrainTimeout Duration `toml:"drain_timeout" validate:"min=0"`
 	// Entry is set for the role entry.
 	Entry *Entry `toml:"entry" validate:"required_if=Role entry"`
@@ -60,116 +62,117 @@
 	Gateway *Gateway `toml:"gateway" validate:"required_if=Role gateway"`
 }
 
-// Entry is the settings of an entry.
+// Entry holds the settings of an entry.
 type Entry struct {
-	// Caller is where callers are served.
+	// Caller is the address of the callers' API.
 	Caller string `toml:"caller" validate:"required,hostport"`
-	// Platform is the address of the platform's service.
+	// Platform is the base URL of the platform's service.
 	Platform string `toml:"platform" validate:"required,http_url"`
-	// Peers are the addresses of entries to begin with.
+	// Peers are the addresses of the entries to contact at start.
 	Peers []string `toml:"peers" validate:"dive,hostport"`
-	// Operators may change the configuration.
+	// Operators are permitted to change the configuration.
 	Operators []Operator `toml:"operators" validate:"dive"`
-	// Links are the times between data halls.
+	// Links are the latencies between data halls.
 	Links []Link `toml:"links" validate:"dive"`
-	// MaxQueue is the number of requests of a service that wait at most.
+	// MaxQueue is the maximum number of requests of a service that wait.
 	MaxQueue int `toml:"max_queue" validate:"min=0,max=1000000"`
-	// MaxDeadline bounds every request.
+	// MaxDeadline bounds the deadline of every request.
 	MaxDeadline Duration `toml:"max_deadline" validate:"min=0"`
-	// MinStall and MaxStall bound how long an attempt may make no progress.
+	// MinStall and MaxStall bound how long an attempt may make no progress before it counts as
+	// stalled.
 	MinStall Duration `toml:"min_stall" validate:"min=0"`
 	MaxStall Duration `toml:"max_stall" validate:"min=0"`
-	// RecoverWait is how long a request that lost its chain waits for another.
+	// RecoverWait is how long a request that lost its chain waits for another one.
 	RecoverWait Duration `toml:"recover_wait" validate:"min=0"`
-	// Expiry is how long an endpoint counts without a heartbeat.
+	// Expiry is how long an endpoint stays in use without a heartbeat.
 	Expiry Duration `toml:"expiry" validate:"min=0"`
-	// Sync is the time between two questions to a peer for changes.
+	// Sync is the mean interval between requests to peers for changes.
 	Sync Duration `toml:"sync" validate:"min=0"`
-	// RetryShare is the share of first tries that may be retried.
+	// RetryShare is the number of retries allowed per first attempt.
 	RetryShare float64 `toml:"retry_share" validate:"min=0,max=1"`
-	// RetryReserve is the number of retries that are always allowed in a window.
+	// RetryReserve is the number of retries per window that are allowed in any case.
 	RetryReserve int `toml:"retry_reserve" validate:"min=0,max=1000000"`
 	// ClaimKeep is how long an idempotency key is remembered.
 	ClaimKeep Duration `toml:"claim_keep" validate:"min=0"`
 }
 
-// Operator may change the configuration.
+// Operator is an operator who is permitted to change the configuration.
 type Operator struct {
 	Name      string `toml:"name" validate:"required,max=63"`
 	KeySHA256 string `toml:"key_sha256" validate:"required,len=64,hexadecimal,lowercase"`
 }
 
-// Link is the one-way time between two data halls, in both directions.
+// Link is the one-way latency between two data halls, the same in both directions.
 type Link struct {
 	From string   `toml:"from" validate:"required"`
 	To   string   `toml:"to" validate:"required"`
 	Time Duration `toml:"time" validate:"min=0"`
 }
 
-// Agent is the settings of an agent. Either Engine or Plain is set.
+// Agent holds the settings of an agent. Either Engine or Plain is set.
 type Agent struct {
-	// Engine is the address of the model engine beside the agent.
+	// Engine is the base URL of the model engine on the agent's host.
 	Engine string `toml:"engine" validate:"required_without=Plain,excluded_with=Plain,omitempty,http_url"`
-	// Plain is the address of the plain service beside the agent.
+	// Plain is the base URL of the plain service on the agent's host.
 	Plain string `toml:"plain" validate:"omitempty,http_url"`
 	// Service is the name of the plain service.
 	Service string `toml:"service" validate:"required_with=Plain"`
-	// Entries are the addresses of entries to begin with.
+	// Entries are the addresses of the entries to contact at start.
 	Entries []string `toml:"entries" validate:"required,min=1,dive,hostport"`
-	// Subset is the number of entries that the agent reports to.
+	// Subset is the number of entries that receive the agent's heartbeats.
 	Subset int `toml:"subset" validate:"min=0,max=1000"`
-	// Heartbeat is the time between two reports.
+	// Heartbeat is the interval between heartbeats.
 	Heartbeat Duration `toml:"heartbeat" validate:"min=0"`
-	// MaxSessions is the number of requests admitted at most.
+	// MaxSessions is the maximum number of requests that the agent asks for.
 	MaxSessions int `toml:"max_sessions" validate:"min=0,max=100000"`
-	// WaitFactor is how long a step may take with its wait, in steps: a larger
-	// one gives throughput, a smaller one latency and quicker recovery.
+	// WaitFactor is the target for the time of a step including its wait in the queue, in multiples
+	// of the time of a step. A larger factor gives more throughput, a smaller one lower latency and
+	// faster recovery.
 	WaitFactor float64 `toml:"wait_factor" validate:"min=0,max=100"`
-	// CallKeep is how long calls that may not be repeated are remembered.
+	// CallKeep is how long calls that must not be repeated are remembered.
 	CallKeep Duration `toml:"call_keep" validate:"min=0"`
 }
 
-// Gateway is the settings of a gateway.
+// Gateway holds the settings of a gateway.
 type Gateway struct {
-	// Caller is where callers are served, Ready where the balancer asks.
+	// Caller is the address of the callers' API, Ready that of the load balancer's health check.
 	Caller string `toml:"caller" validate:"required,hostport"`
 	Ready  string `toml:"ready" validate:"required,hostport"`
 	// Store is the address of the platform's store.
 	Store string `toml:"store" validate:"required,hostport"`
-	// Revocation is how soon a key that was taken away must not work anywhere.
+	// Revocation is the time within which a revoked key must stop working everywhere.
 	Revocation Duration `toml:"revocation" validate:"min=0"`
-	// StopTimeout is how long after the signal to stop the process is killed.
+	// StopTimeout is the time between the stop signal and the forced end of the process.
 	StopTimeout Duration `toml:"stop_timeout" validate:"min=0"`
-	// RetryShare, RetryReserve and RetryWindow bound the retries of all
-	// gateways together.
+	// RetryShare, RetryReserve and RetryWindow bound the retries of all gateways together.
 	RetryShare   float64 `toml:"retry_share" validate:"min=0,max=1"`
 	RetryReserve int     `toml:"retry_reserve" validate:"min=0,max=1000000"`
-	// FlatFleet is the size of a fleet up to which every gateway tells every other one
-	// all, and asks the platform's store itself; 0 for the usual size.
+	// FlatFleet is the largest fleet in which every gateway sends its digests to all others and
+	// reads the platform's store itself, 0 for the default size.
 	FlatFleet int `toml:"flat_fleet" validate:"min=0,max=10000"`
-	// LinkMegabits is what the host's link carries, in Mbit/s, 0 when that is not
-	// known: what gateways tell each other has a bounded part of it.
+	// LinkMegabits is the bandwidth of the host's link in Mbit/s, 0 if unknown. Messages between
+	// gateways use a bounded share of it.
 	LinkMegabits float64  `toml:"link_megabits" validate:"min=0,max=10000000"`
 	RetryWindow  Duration `toml:"retry_window" validate:"min=0"`
 }
 
-// Error is a fault in a file of settings.
+// Error is a fault in a settings file.
 type Error struct {
 	File string
-	// Line is the line of the fault, 0 when it is not on one.
+	// Line is the line of the fault, 0 if the fault is not on a particular line.
 	Line int
-	// Key is the key at fault, with those of the tables around it.
+	// Key is the full key at fault, including the tables around it.
 	Key string
-	// Problem says what is wrong and what is allowed.
+	// Problem describes what is wrong and what is allowed.
 	Problem string
 }
 
-// Error locates the fault.
+// Error returns the file, line and key of the fault, and the problem.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Key, e.Problem)
 }
 
-// Load reads and checks a file. It returns an Error for the first fault.
+// Load reads and validates a file. It returns an [Error] for the first fault.
 func Load(path string) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -178,7 +181,7 @@
 	return Parse(path, data)
 }
 
-// Parse checks the content of the file at path.
+// Parse validates data, the content of the file at path. It returns an [Error] for the first fault.
 func Parse(path string, data []byte) (*File, error) {
 	f := new(File)
 	decoder := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
@@ -192,13 +195,13 @@
 	return f, nil
 }
 
-// decodeError locates an error of the decoder.
+// decodeError converts an error of the decoder into an [Error].
 func decodeError(path string, err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
 		first := unknown.Errors[0]
 		line, _ := first.Position()
-		return &Error{path, line, strings.Join(first.Key(), "."), "there is no such key"}
+		return &Error{path, line, strings.Join(first.Key(), "."), "unknown key"}
 	}
 	var syntax *toml.DecodeError
 	if errors.As(err, &syntax) {
@@ -208,7 +211,7 @@
 	return &Error{path, 0, "", err.Error()}
 }
 
-// newValidator returns a validator that names fields by their keys.
+// newValidator returns a validator that reports fields by their TOML keys.
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("toml") })
@@ -216,18 +219,18 @@
 	return v
 }
 
-// fieldError locates a field that does not satisfy its rule.
+// fieldError converts the violation of a validation rule into an [Error].
 func fieldError(path string, data []byte, f validator.FieldError) error {
 	key := strings.TrimPrefix(f.Namespace(), "File.")
 	rule := f.Tag()
 	if f.Param() != "" {
 		rule += " " + f.Param()
 	}
-	return &Error{path, lineOf(data, key), key, fmt.Sprintf("%v does not satisfy: %s", f.Value(), rule)}
+	return &Error{path, lineOf(data, key), key, fmt.Sprintf("value %v violates the rule: %s", f.Value(), rule)}
 }
 
-// lineOf returns the line that sets key, 0 when there is none. Of several
-// tables in an array it takes the first.
+// lineOf returns the line that sets key, 0 if there is none. Among several tables of an array it
+// uses the first.
 func lineOf(data []byte, key string) int {
 	want := strings.Split(key, ".")
 	for i := range want {
--- a/role/settings/file_test.go
+++ b/role/settings/file_test.go
@@ -13,7 +13,7 @@
 	"github.com/grademill/grademill/role/settings"
 )
 
-const good = `role = "entry"
+const valid = `role = "entry"
 name = "entry-1"
 hall = "rose-hill"
 address = "10.0.0.1:7000"
@@ -27,23 +27,23 @@
 `
 
 func TestParse(t *testing.T) {
-	f, err := settings.Parse("entry.toml", []byte(good))
+	f, err := settings.Parse("entry.toml", []byte(valid))
 	require.NoError(t, err)
 	require.Equal(t, "rose-hill", f.Hall)
 	require.Equal(t, 1500*time.Millisecond, f.Entry.Sync.Or(time.Second))
 	require.Equal(t, time.Second, f.Entry.Expiry.Or(time.Second))
 }
 
-func TestFaultsAreLocated(t *testing.T) {
+func TestErrorLocatesTheFault(t *testing.T) {
 	cases := []struct {
 		name, text string
 		line       int
 		key        string
 	}{
-		{"unknown key", good + "[entry2]\nx = 1\n", 12, "entry2"},
+		{"unknown key", valid + "[entry2]\nx = 1\n", 12, "entry2"},
 		{"misspelt key", "role = \"entry\"\nnmae = \"x\"\n", 2, "nmae"},
 		{"wrong type", "role = 7\n", 1, "role"},
-		{"bad duration", good[:len(good)-len(good)] + "drain_timeout = \"soon\"\n", 1, "drain_timeout"},
+		{"bad duration", valid[:len(valid)-len(valid)] + "drain_timeout = \"soon\"\n", 1, "drain_timeout"},
 		{"syntax", "role = \n", 1, ""},
 		{"unknown role", "role = \"router\"\nname = \"x\"\nhall = \"h\"\naddress = \"1.2.3.4:5\"\n", 1, "role"},
 		{"bad address", "role = \"entry\"\nname = \"x\"\nhall = \"h\"\naddress = \"nowhere\"\n", 4, "address"},
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestExamplesAreFitForUse(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	for _, name := range []string{
 		"ramdin/entry.toml", "ramdin/agent-engine.toml", "ramdin/agent-records.toml", "ramdin/gateway.toml",
 		"greenbough/entry.toml", "greenbough/agent-engine.toml", "greenbough/agent-stock.toml",
@@ -72,35 +72,35 @@
 	}
 }
 
-// The template of the users' platform, filled with the facts of a host, is fit for
-// use.
-func TestDeployTemplateIsFitForUse(t *testing.T) {
+// The deployment template, filled with the values of a host, gives valid settings, with and without
+// the optional bounds.
+func TestDeployTemplateIsValid(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/gateway.toml")
 	require.NoError(t, err)
-	facts := map[string]string{
+	values := map[string]string{
 		"node": "front-1", "zone": "ikeja", "ip": "10.1.0.40", "port_range.0": "7340", "listen.front": "10.1.0.40:8227",
 		"listen.ready": "10.1.0.40:8220", "listen.control": "10.1.0.40:8229", "provider.addr": "10.200.1.7:8223",
 		"bounds.revoke_ms": "5000", "bounds.grace_s": "8", "bounds.retry_ratio": "1", "bounds.retry_slack": "200",
 		"bounds.retry_window_s": "10",
 	}
-	whole := fill(string(text), facts)
-	f, err := settings.Parse("gateway.toml", []byte(whole))
+	rendered := render(string(text), values)
+	f, err := settings.Parse("gateway.toml", []byte(rendered))
 	require.NoError(t, err)
 	require.Equal(t, 5*time.Second, time.Duration(f.Gateway.Revocation))
 	require.Equal(t, 200, f.Gateway.RetryReserve)
 	require.InDelta(t, 1, f.Gateway.RetryShare, 0)
-	for name := range facts {
+	for name := range values {
 		if strings.HasPrefix(name, "bounds.") {
-			delete(facts, name)
+			delete(values, name)
 		}
 	}
-	_, err = settings.Parse("gateway.toml", []byte(fill(string(text), facts)))
-	require.NoError(t, err, "without bounds")
+	_, err = settings.Parse("gateway.toml", []byte(render(string(text), values)))
+	require.NoError(t, err, "template without bounds")
 }
 
-// fill fills a template as the platform does, as far as ours goes: a value by its
-// name, and a section that stands when there is a value.
-func fill(text string, facts map[string]string) string {
+// render renders a template as the platform does, as far as this template needs: values by name,
+// and sections that appear only if their value is given.
+func render(text string, facts map[string]string) string {
 	section := regexp.MustCompile(`(?s)\{\{#([a-z_.]+)\}\}(.*?)\{\{/[a-z_.]+\}\}`)
 	text = section.ReplaceAllStringFunc(text, func(s string) string {
 		parts := section.FindStringSubmatch(s)
@@ -117,7 +117,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(valid)
 	f.Add("role = 7")
 	f.Add("[entry]\n[entry]")
 	f.Add("drain_timeout = \"1h\"\nagent = {}")
