--- a/role/agent/agent.go
+++ b/role/agent/agent.go
@@ -1,6 +1,8 @@
-// Package agent is the process beside an endpoint: the only giver of work and
-// of orders to it. It fences steps, calls and orders, passes steps on to the
-// next stage, and drains.
+// Package agent implements the agent, the process on the host of an endpoint through which all work
+// and all orders reach that endpoint. It fences steps, calls and orders, forwards the output of
+// steps to the next stage, and drains the endpoint before a stop.
+//
+// Set the exported fields of [Agent], then call Run.
 package agent
 
 import (
@@ -28,91 +30,91 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// Agent is the agent of one endpoint. Set the exported fields, then call Run.
-// Either Engine or Plain is set.
+// Agent is the agent of one endpoint. Set the exported fields, then call Run. Either Engine or
+// Plain is set.
 type Agent struct {
 	// Name is the endpoint's name, unique in the fleet.
 	Name string
 	// Hall is the data hall of the host.
 	Hall string
-	// Address is where peers reach this agent.
+	// Address is the address for connections from peers.
 	Address string
-	// Engine is the model engine beside the agent.
+	// Engine is the model engine on the agent's host.
 	Engine engine.Engine
-	// Plain is the plain service beside the agent, and Service its name.
+	// Plain is the plain service on the agent's host, and Service its name.
 	Plain   service.Service
 	Service string
-	// Entries are the addresses of entries to begin with.
+	// Entries are the addresses of the entries to contact at start.
 	Entries []string
-	// Subset is the number of entries that the agent reports to.
+	// Subset is the number of entries that receive the agent's heartbeats.
 	Subset int
-	// Heartbeat is the time between two reports to an entry.
+	// Heartbeat is the interval between heartbeats.
 	Heartbeat time.Duration
-	// MaxSessions is the largest number of requests that the agent asks for. It
-	// admits a little more, for entries that have not heard of each other's.
+	// MaxSessions is the maximum number of requests that the agent asks for. It admits up to twice
+	// as many, since entries do not know at once of the requests that other entries have sent.
 	MaxSessions int
-	// WaitFactor is how long a step may take with its wait, in steps; zero means
-	// DefaultWaitFactor. A larger one gives throughput, a smaller one latency and
-	// quicker recovery.
+	// WaitFactor is the target for the time of a step including its wait in the queue, in multiples
+	// of the time of a step; zero means DefaultWaitFactor. A larger factor gives more throughput, a
+	// smaller one lower latency and faster recovery.
 	WaitFactor float64
-	// DrainTimeout bounds how long a stop waits for requests in flight. Those
-	// that are left then are moved by their owners.
+	// DrainTimeout bounds how long a stopping agent waits for requests in flight. After that, their
+	// owners move the remaining ones to other chains.
 	DrainTimeout time.Duration
-	// CallKeep is how long calls that may not be repeated are remembered.
+	// CallKeep is how long calls that must not be repeated are remembered.
 	CallKeep time.Duration
-	// Log gets the agent's lines.
+	// Log receives the agent's log lines.
 	Log zerolog.Logger
-	// Servers run beside the agent, such as one for metrics.
+	// Servers are run together with the agent, such as one for metrics.
 	Servers []transport.Server
-	// Unfenced turns the step fence off, for tests that show what it is for.
+	// Unfenced disables the step fence, for tests that show its effect.
 	Unfenced bool
 
 	incarnation uint64
-	// announced is set once the entries are told that the agent leaves, leaving once it
+	// announced is set once the entries have been notified that the agent leaves, leaving once it
 	// refuses new work.
 	announced, leaving atomic.Bool
 	links              *link.Set
 	process            *process.Process
 
-	mu       sync.Mutex // guards what follows
-	sessions map[string]*session
-	active   int
-	graves   []grave
-	queue    []work
-	releases []*wire.Cancel
-	wake     chan struct{}
-	fence    order.Fence
-	status   engine.Status
-	loading  bool
-	learned  limit.Learned
-	stepTime time.Duration
-	calls    once.Table[*wire.CallReply]
-	waiters  map[once.Key]chan struct{}
-	running  int // calls at the plain service
-	entries  []*wire.Peer
+	mu         sync.Mutex // guards the fields below
+	sessions   map[string]*session
+	active     int
+	tombstones []tombstone
+	queue      []work
+	releases   []*wire.Cancel
+	wake       chan struct{}
+	fence      order.Fence
+	status     engine.Status
+	loading    bool
+	learned    limit.Learned
+	stepTime   time.Duration
+	calls      once.Table[*wire.CallReply]
+	waiters    map[once.Key]chan struct{}
+	running    int // calls in flight at the plain service
+	entries    []*wire.Peer
 	// entriesHash is the hash of entries.
 	entriesHash uint64
-	// introduced is what each entry was told of the agent on its connection.
+	// introduced is the introduction last sent to each entry on its current connection.
 	introduced map[string]*wire.Introduction
-	// failures are the entries whose connections broke.
-	failures map[string]failure
-	beats    uint64
+	// failures holds the entries whose connections broke.
+	failures   map[string]failure
+	heartbeats uint64
 }
 
-// maxCalls bounds the calls that are remembered, and callEpoch is the length of
-// an epoch of package once.
+// maxCalls bounds the number of calls that are remembered, and callEpoch is the length of an epoch
+// of package once.
 const (
 	maxCalls  = 25_000
 	callEpoch = 30 * time.Second
 )
 
-// DefaultWaitFactor lets one full batch wait while another runs.
+// DefaultWaitFactor lets one full batch wait while another one runs.
 const DefaultWaitFactor = 2.5
 
-// admitFactor is how many times MaxSessions the agent admits.
+// admitFactor is the number of requests that the agent admits, in multiples of MaxSessions.
 const admitFactor = 2
 
-// prepare fills the unexported fields.
+// prepare initializes the unexported fields and reads the status of the engine.
 func (a *Agent) prepare(ctx context.Context) error {
 	a.incarnation = uint64(time.Now().UnixNano())
 	a.sessions = make(map[string]*session)
@@ -132,7 +134,7 @@
 	}
 	status, err := a.Engine.Status(ctx)
 	if err != nil {
-		return trace.Wrap(err, "ask the engine what it holds")
+		return trace.Wrap(err, "read engine status")
 	}
 	a.status = status
 	a.learned.Min = min(a.batch(), a.MaxSessions)
@@ -140,14 +142,14 @@
 	return nil
 }
 
-// Run serves until ctx ends or the process is told to stop.
+// Run serves until ctx ends or the process receives a stop signal.
 func (a *Agent) Run(ctx context.Context) error {
 	if err := a.prepare(ctx); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	server := &listen.Server{Address: a.Address, Batch: a.take, Calls: a.methods(), Log: a.Log}
+	server := &listen.Server{Address: a.Address, Batch: a.handleFrame, Calls: a.methods(), Log: a.Log}
 	if err := server.Listen(); err != nil {
 		return err
 	}
@@ -155,7 +157,7 @@
 		go a.runBatches(ctx)
 	}
 	go a.sweep(ctx)
-	go a.beat(ctx)
+	go a.sendHeartbeats(ctx)
 	servers := append([]transport.Server{server}, a.Servers...)
 	a.process = process.New(ctx, a.Name, a.Log, a.drain, servers...)
 	a.Log.Info().Str("address", a.Address).Uint64("incarnation", a.incarnation).Msg("agent serves")
@@ -174,17 +176,17 @@
 	return a.leaving.Load()
 }
 
-// noticeBeats is the number of heartbeats for which an agent that leaves still takes new
-// work: entries hear of it with the first, and what they had sent before arrives.
-const noticeBeats = 3
+// noticeHeartbeats is the number of heartbeats for which a leaving agent still accepts new work:
+// the first one notifies the entries, and work that they sent before arrives in that time.
+const noticeHeartbeats = 3
 
-// drain tells the entries, takes what they sent before they heard of it, then refuses new
-// work and waits for what is in flight.
+// drain notifies the entries, accepts what they sent before the notice reached them, then refuses
+// new work and waits for the requests in flight.
 func (a *Agent) drain(ctx context.Context) error {
 	a.announced.Store(true)
 	a.Log.Info().Int("sessions", a.inFlight()).Msg("agent announces that it leaves")
 	a.report()
-	pause.For(ctx, noticeBeats*a.Heartbeat)
+	pause.For(ctx, noticeHeartbeats*a.Heartbeat)
 	a.leaving.Store(true)
 	a.Log.Info().Int("sessions", a.inFlight()).Msg("agent is leaving")
 	drain.Wait(ctx, a.DrainTimeout, a.inFlight)
@@ -200,10 +202,10 @@
 	return a.active + a.running
 }
 
-// flushTime lets the links write what was queued last.
+// flushTime is how long the links have to write what was queued last.
 const flushTime = 50 * time.Millisecond
 
-// evict asks the owners of what is left to move it.
+// evict asks the owners of the remaining requests to move them to other chains.
 func (a *Agent) evict() {
 	a.mu.Lock()
 	var left []*wire.Trouble
@@ -223,7 +225,7 @@
 	}
 }
 
-// methods are the control calls that the agent answers.
+// methods returns the control calls that the agent answers.
 func (a *Agent) methods() rpc.Methods {
 	return rpc.Methods{
 		"call":   rpc.Of(a.call),
--- a/role/agent/agent_test.go
+++ b/role/agent/agent_test.go
@@ -28,8 +28,8 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*persistConn).readLoop"))
 }
 
-// patience bounds every wait: a test that reaches it has failed.
-const patience = 30 * time.Second
+// testTimeout bounds every wait: a test that reaches it fails.
+const testTimeout = 30 * time.Second
 
 var addresses atomic.Int32
 
@@ -37,17 +37,17 @@
 	return fmt.Sprintf("127.%d.77.1:%d", 1+os.Getpid()%250, 21000+addresses.Add(1))
 }
 
-// engineOf is an engine that holds layers [0, 4) and lets each batch pass when
-// it is told to.
-type engineOf struct {
+// fakeEngine is an engine that holds layers [0, 4). If hold is not nil, each batch waits for a
+// value from it.
+type fakeEngine struct {
 	mu    sync.Mutex
 	ran   []*wire.EngineStep
-	hold  chan struct{} // a batch waits for one value each; nil for no wait
+	hold  chan struct{} // each batch receives one value; nil for no wait
 	term  uint64
 	loads []uint64
 }
 
-func (e *engineOf) Run(_ context.Context, b *wire.EngineBatch) (*wire.EngineOutputs, error) {
+func (e *fakeEngine) Run(_ context.Context, b *wire.EngineBatch) (*wire.EngineOutputs, error) {
 	if e.hold != nil {
 		<-e.hold
 	}
@@ -61,18 +61,18 @@
 	return out, nil
 }
 
-func (e *engineOf) Status(context.Context) (engine.Status, error) {
+func (e *fakeEngine) Status(context.Context) (engine.Status, error) {
 	return engine.Status{Service: "m", Layers: layer.Range{End: 4}, MaxBatch: 4}, nil
 }
 
-func (e *engineOf) Load(_ context.Context, term uint64, _ string, _ layer.Range) error {
+func (e *fakeEngine) Load(_ context.Context, term uint64, _ string, _ layer.Range) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.loads = append(e.loads, term)
 	return nil
 }
 
-func (e *engineOf) runs() []string {
+func (e *fakeEngine) runs() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var all []string
@@ -82,7 +82,7 @@
 	return all
 }
 
-// owner plays the entry: it takes heartbeats, tokens and troubles.
+// owner simulates the entry: it receives heartbeats, tokens and troubles.
 type owner struct {
 	t        *testing.T
 	server   *listen.Server
@@ -96,7 +96,7 @@
 	client   rpc.Client
 }
 
-// start runs an agent with an owner beside it.
+// start runs an agent together with an owner.
 func start(t *testing.T, a *agent.Agent) *owner {
 	o := &owner{t: t, links: &link.Set{Name: "owner", Log: zerolog.Nop()}, agent: a}
 	o.server = &listen.Server{Address: address(), Batch: o.take, Log: zerolog.Nop()}
@@ -105,7 +105,7 @@
 	a.Name, a.Hall, a.Address = "a", "h", address()
 	a.Entries, a.Subset = []string{o.server.Address}, 1
 	a.Heartbeat, a.MaxSessions, a.CallKeep = cmp.Or(a.Heartbeat, 10*time.Millisecond), 4, time.Hour
-	a.DrainTimeout = patience
+	a.DrainTimeout = testTimeout
 	a.Log = zerolog.Nop()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -123,7 +123,7 @@
 
 func (o *owner) eventually(ok func() bool) {
 	o.t.Helper()
-	require.Eventually(o.t, ok, patience, time.Millisecond)
+	require.Eventually(o.t, ok, testTimeout, time.Millisecond)
 }
 
 func (o *owner) heard() *wire.Heartbeat {
@@ -149,8 +149,8 @@
 	return len(o.tokens), len(o.troubles)
 }
 
-// first returns the first step of an attempt of a request with one stage, which
-// is this agent. The answer ends after one token.
+// first returns the first step of an attempt of a request whose only stage is this agent. The
+// answer ends after one token.
 func (o *owner) first(request string, attempt uint32) *wire.Step {
 	return &wire.Step{
 		Request: []byte(request), Attempt: attempt, Count: 2, Payload: make([]byte, 8),
@@ -166,8 +166,8 @@
 	}
 }
 
-func TestDoubledStepRunsOnceAndIsAnsweredAgain(t *testing.T) {
-	e := new(engineOf)
+func TestDuplicateStepRunsOnceAndIsAnsweredAgain(t *testing.T) {
+	e := new(fakeEngine)
 	o := start(t, &agent.Agent{Engine: e})
 	o.send(o.first("r", 1))
 	o.eventually(func() bool { n, _ := o.counts(); return n == 1 })
@@ -176,9 +176,9 @@
 	require.Equal(t, []string{"1@0"}, e.runs())
 }
 
-// Without the fence the doubled step runs twice.
-func TestWithoutFenceDoubledStepRunsTwice(t *testing.T) {
-	e := new(engineOf)
+// Without the fence, a duplicate step runs twice.
+func TestDuplicateStepRunsTwiceWithoutFence(t *testing.T) {
+	e := new(fakeEngine)
 	o := start(t, &agent.Agent{Engine: e, Unfenced: true})
 	o.send(o.first("r", 1))
 	o.eventually(func() bool { n, _ := o.counts(); return n == 1 })
@@ -187,8 +187,8 @@
 	require.Equal(t, []string{"1@0", "1@0"}, e.runs())
 }
 
-func TestFormerAttemptIsIgnored(t *testing.T) {
-	e := new(engineOf)
+func TestPreviousAttemptIsIgnored(t *testing.T) {
+	e := new(fakeEngine)
 	o := start(t, &agent.Agent{Engine: e})
 	o.send(o.first("r", 2), o.first("r", 1), o.first("other", 1))
 	o.eventually(func() bool { n, _ := o.counts(); return n == 2 })
@@ -198,10 +198,9 @@
 	require.Equal(t, []byte("other"), o.tokens[1].GetRequest())
 }
 
-// A refusal stands: the attempt that was refused never runs, however late its
-// step comes again.
+// A refusal is permanent: a refused attempt never runs, even if its step arrives again later.
 func TestRefusedAttemptNeverRuns(t *testing.T) {
-	e := new(engineOf)
+	e := new(fakeEngine)
 	o := start(t, &agent.Agent{Engine: e})
 	wrong := o.first("r", 1)
 	wrong.Open.Chain[0].Incarnation++
@@ -214,7 +213,7 @@
 }
 
 func TestCancelBeforeTheStepBarsIt(t *testing.T) {
-	e := new(engineOf)
+	e := new(fakeEngine)
 	o := start(t, &agent.Agent{Engine: e})
 	o.links.Cancel(o.agent.Address, &wire.Cancel{Request: []byte("r"), Attempt: 1})
 	o.send(o.first("r", 1), o.first("other", 1))
@@ -224,7 +223,7 @@
 }
 
 func TestMissingPositionIsReported(t *testing.T) {
-	e := new(engineOf)
+	e := new(fakeEngine)
 	o := start(t, &agent.Agent{Engine: e})
 	s := o.first("r", 1)
 	s.Position = 5
@@ -235,9 +234,9 @@
 }
 
 func TestTooManySessionsAreRefused(t *testing.T) {
-	e := &engineOf{hold: make(chan struct{})}
+	e := &fakeEngine{hold: make(chan struct{})}
 	o := start(t, &agent.Agent{Engine: e})
-	for i := range 9 { // twice what the agent asks for, and one
+	for i := range 9 { // one more than the agent admits, which is twice its limit
 		o.send(o.first(fmt.Sprint(i), 1))
 	}
 	o.eventually(func() bool { _, n := o.counts(); return n == 1 })
@@ -246,8 +245,8 @@
 	o.eventually(func() bool { n, _ := o.counts(); return n == 8 })
 }
 
-func TestLeavingAgentRefusesNewWorkAndEndsTheOld(t *testing.T) {
-	e := &engineOf{hold: make(chan struct{})}
+func TestLeavingAgentRefusesNewWorkAndFinishesTheRest(t *testing.T) {
+	e := &fakeEngine{hold: make(chan struct{})}
 	o := start(t, &agent.Agent{Engine: e, Heartbeat: 300 * time.Millisecond})
 	o.send(o.first("old", 1))
 	o.eventually(func() bool { return o.heard().GetLoad().GetSessions() == 1 })
@@ -258,7 +257,7 @@
 		defer o.mu.Unlock()
 		return o.leaving
 	})
-	require.False(t, o.agent.Leaving(), "the entries are told first")
+	require.False(t, o.agent.Leaving(), "entries must be notified before new work is refused")
 	o.send(o.first("sent before the owner heard", 1))
 	o.eventually(func() bool { return o.heard().GetLoad().GetSessions() == 2 })
 	o.eventually(o.agent.Leaving)
@@ -275,20 +274,20 @@
 }
 
 func TestStaleOrdersAreRefused(t *testing.T) {
-	e := new(engineOf)
+	e := new(fakeEngine)
 	o := start(t, &agent.Agent{Engine: e})
-	give := func(term, incarnation uint64) *wire.OrderReply {
+	sendOrder := func(term, incarnation uint64) *wire.OrderReply {
 		reply := new(wire.OrderReply)
 		require.NoError(t, o.client.Call(context.Background(), o.agent.Address, "order", &wire.Order{
 			Term: term, Incarnation: incarnation, Service: "m", End: 4,
 		}, reply))
 		return reply
 	}
-	mine := o.heard().GetIncarnation()
-	require.True(t, give(5, mine).GetAccepted())
-	o.eventually(func() bool { return give(6, mine).GetAccepted() })
-	require.False(t, give(5, mine).GetAccepted(), "a giver that has been replaced")
-	require.False(t, give(9, mine+1).GetAccepted(), "meant for another incarnation")
+	current := o.heard().GetIncarnation()
+	require.True(t, sendOrder(5, current).GetAccepted())
+	o.eventually(func() bool { return sendOrder(6, current).GetAccepted() })
+	require.False(t, sendOrder(5, current).GetAccepted(), "order of a replaced leader")
+	require.False(t, sendOrder(9, current+1).GetAccepted(), "meant for another incarnation")
 	o.eventually(func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -296,15 +295,15 @@
 	})
 }
 
-// records is a plain service that counts what it runs.
-type records struct {
+// countingService is a plain service that counts the calls it runs.
+type countingService struct {
 	mu   sync.Mutex
 	ran  int
 	hold chan struct{}
 	err  error
 }
 
-func (r *records) Do(context.Context, service.Request) (service.Reply, error) {
+func (r *countingService) Do(context.Context, service.Request) (service.Reply, error) {
 	r.mu.Lock()
 	r.ran++
 	r.mu.Unlock()
@@ -331,8 +330,8 @@
 	return reply
 }
 
-func TestCallRunsOnceHoweverOftenItIsSent(t *testing.T) {
-	r := &records{hold: make(chan struct{})}
+func TestRepeatedCallRunsOnce(t *testing.T) {
+	r := &countingService{hold: make(chan struct{})}
 	o := start(t, &agent.Agent{Plain: r, Service: "records"})
 	var group sync.WaitGroup
 	for i := range 8 {
@@ -353,7 +352,7 @@
 }
 
 func TestSettledCallNeverStarts(t *testing.T) {
-	r := new(records)
+	r := new(countingService)
 	o := start(t, &agent.Agent{Plain: r, Service: "records"})
 	mine := o.heard().GetIncarnation()
 	require.Equal(t, wire.CallReply_UNKNOWN, o.settle("late", mine-1).GetOutcome(), "another incarnation")
@@ -363,26 +362,26 @@
 	require.Equal(t, wire.CallReply_DONE, o.call("next", 0).GetOutcome())
 }
 
-func TestServiceThatIsNotReachedHasNotRun(t *testing.T) {
-	r := &records{err: &service.UnsentError{Err: context.DeadlineExceeded}}
+func TestUnsentCallIsReportedAsNotRun(t *testing.T) {
+	r := &countingService{err: &service.UnsentError{Err: context.DeadlineExceeded}}
 	o := start(t, &agent.Agent{Plain: r, Service: "records"})
 	require.Equal(t, wire.CallReply_NOT_RUN, o.call("a", 0).GetOutcome())
 	r.err = nil
 	require.Equal(t, wire.CallReply_DONE, o.call("b", 0).GetOutcome())
 }
 
-func TestLostAnswerLeavesTheCallInDoubt(t *testing.T) {
-	r := &records{err: context.DeadlineExceeded}
+func TestLostAnswerLeavesTheOutcomeUnknown(t *testing.T) {
+	r := &countingService{err: context.DeadlineExceeded}
 	o := start(t, &agent.Agent{Plain: r, Service: "records"})
 	require.Equal(t, wire.CallReply_UNKNOWN, o.call("a", 0).GetOutcome())
 	require.Equal(t, wire.CallReply_UNKNOWN, o.call("b", 0).GetOutcome())
 	require.Equal(t, 1, r.ran)
 }
 
-// An entry's list may name only entries that then die. The agent goes back to
-// the addresses of its settings, and is not stranded.
-func TestListOfDeadEntriesDoesNotStrandTheAgent(t *testing.T) {
-	o := start(t, &agent.Agent{Engine: new(engineOf)})
+// The entries on a received list may all have ended since. The agent then falls back to the
+// addresses of its settings.
+func TestAgentRecoversFromListOfDeadEntries(t *testing.T) {
+	o := start(t, &agent.Agent{Engine: new(fakeEngine)})
 	dead := &wire.Peer{Name: "dead", Address: address()}
 	o.links.News(o.agent.Address, &wire.News{Entries: []*wire.Peer{dead}})
 	wanted := agent.EntriesHash([]*wire.Peer{dead})
--- a/role/agent/batch.go
+++ b/role/agent/batch.go
@@ -11,13 +11,13 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// work is one step that waits for the engine.
+// work is one step in the queue of the engine.
 type work struct {
 	session  *session
 	id       fence.Step
 	step     *wire.Step
 	priority int32
-	came     time.Time
+	queuedAt time.Time
 }
 
 // signal wakes the goroutine that runs batches.
@@ -28,8 +28,8 @@
 	}
 }
 
-// runBatches gives the engine one batch after another. What arrives while a
-// batch runs goes into the next one.
+// runBatches runs one batch after another. Steps that arrive while a batch runs go into the next
+// one.
 func (a *Agent) runBatches(ctx context.Context) {
 	for {
 		select {
@@ -43,17 +43,16 @@
 	}
 }
 
-// defaultBatch is the size of a batch for engines that do not say theirs.
+// defaultBatch is the batch size for engines that do not report theirs.
 const defaultBatch = 32
 
-// batch returns the number of steps that the engine takes together; a.mu is
-// held.
+// batch returns the maximum number of steps in a batch; a.mu is held.
 func (a *Agent) batch() int {
 	return cmp.Or(a.status.MaxBatch, defaultBatch)
 }
 
-// nextBatch takes the next steps out of the queue, higher priorities first.
-// Steps that were cancelled while they waited are dropped.
+// nextBatch removes the next steps from the queue, higher priorities first, and drops queued steps
+// that have been cancelled.
 func (a *Agent) nextBatch() []work {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -67,17 +66,17 @@
 	return batch
 }
 
-// cancelled reports whether the step's attempt has been barred or replaced.
+// cancelled reports whether the attempt of the step has been cancelled or replaced.
 func (w work) cancelled() bool {
 	return w.session.open == nil || w.session.fence.Attempt != w.id.Attempt
 }
 
-// shortOutputsError is an engine that answered fewer steps than it was given.
+// shortOutputsError reports that an engine answered fewer steps than it was given.
 type shortOutputsError struct {
 	given, answered int
 }
 
-// Error returns both numbers.
+// Error returns a message with both numbers.
 func (e *shortOutputsError) Error() string {
 	return fmt.Sprintf("engine answered %d of %d steps", e.answered, e.given)
 }
@@ -120,10 +119,11 @@
 	return a.status.Service
 }
 
-// stepWeight is the weight of a new step time in the running mean.
+// stepWeight is the weight of a new sample in the moving average of step times.
 const stepWeight = 0.1
 
-// learn takes in a batch that was started at a time and has ended now.
+// learn updates the step time and the session limit after a batch that began at start and has just
+// ended.
 func (a *Agent) learn(start time.Time, batch []work) {
 	now := time.Now()
 	a.mu.Lock()
@@ -131,14 +131,14 @@
 	a.learnStep(now.Sub(start))
 	var took time.Duration
 	for _, w := range batch {
-		took += now.Sub(w.came)
+		took += now.Sub(w.queuedAt)
 	}
 	took /= time.Duration(len(batch))
 	target := time.Duration(a.WaitFactor * float64(a.stepTime))
 	a.learned = a.learned.WithStep(took, target, a.active)
 }
 
-// learnStep takes in the time of a step without its wait; a.mu is held.
+// learnStep adds a step time, without the wait in the queue, to the moving average; a.mu is held.
 func (a *Agent) learnStep(took time.Duration) {
 	if a.stepTime == 0 {
 		a.stepTime = took
--- a/role/agent/beat.go
+++ b/role/agent/beat.go
@@ -15,8 +15,8 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// beat reports to the entries until ctx ends.
-func (a *Agent) beat(ctx context.Context) {
+// sendHeartbeats sends heartbeats to the entries until ctx ends.
+func (a *Agent) sendHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(a.Heartbeat)
 	defer ticker.Stop()
 	for {
@@ -29,19 +29,19 @@
 	}
 }
 
-// introduceEvery is the number of heartbeats after which the agent introduces
-// itself again, to entries that have forgotten it while it was silent.
-const introduceEvery = 8
+// introductionInterval is the number of heartbeats after which the agent repeats its introduction,
+// for entries that have forgotten it while it was silent.
+const introductionInterval = 8
 
 // report sends one heartbeat to each entry of the subset.
 func (a *Agent) report() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	self := a.introduction()
-	a.beats++
+	a.heartbeats++
 	for _, address := range a.subset() {
 		beat := a.heartbeat()
-		if a.beats%introduceEvery == 0 || !proto.Equal(a.introduced[address], self) {
+		if a.heartbeats%introductionInterval == 0 || !proto.Equal(a.introduced[address], self) {
 			beat.Self = self
 			a.introduced[address] = self
 		}
@@ -49,7 +49,7 @@
 	}
 }
 
-// introduction returns what seldom changes; a.mu is held.
+// introduction returns the description of the endpoint, which seldom changes; a.mu is held.
 func (a *Agent) introduction() *wire.Introduction {
 	self := &wire.Introduction{
 		Endpoint: a.Name, Address: a.Address, Hall: a.Hall, Service: a.Service, Leaving: a.announced.Load(),
@@ -61,33 +61,34 @@
 	return self
 }
 
-// heartbeat returns the report of this moment; a.mu is held.
+// heartbeat returns the current report; a.mu is held.
 func (a *Agent) heartbeat() *wire.Heartbeat {
 	load := a.load()
-	load.Endpoint = "" // the incarnation tells
+	load.Endpoint = "" // implied by the incarnation
 	return &wire.Heartbeat{
 		Incarnation: a.incarnation, Load: load, EntriesHash: a.entriesHash,
 		Epoch: a.calls.Now(time.Now()), Term: a.fence.Term,
 	}
 }
 
-// redial spaces out the connections to an entry that does not answer. The first
-// wait is about a heartbeat of the examples, the last one a few expiries.
+// redial is the backoff between connections to an entry that does not answer. The first delay is
+// about one heartbeat interval of the example settings, the last a few times the expiry of an
+// endpoint.
 var redial = backoff.Backoff{Base: 500 * time.Millisecond, Max: 10 * time.Second}
 
-// failure is how a connection to an entry failed.
+// failure holds the failed connections to an entry.
 type failure struct {
-	// count is the number of failures without a calm time between them.
+	// count is the number of failures without a quiet period in between.
 	count int
-	// until is when the entry is tried again.
+	// until is when the next attempt is due.
 	until time.Time
 }
 
-// subset returns the entries to report to now: those of highest weight for this
-// agent among the list that an entry has sent. The addresses of the settings
-// are used until there is a list, and again while all of the subset fail: a list
-// may name only entries that have died since. Entries that failed wait their
-// turn. a.mu is held.
+// subset returns the addresses of the entries that receive the next heartbeat: those with the
+// highest rendezvous weight for this agent on the list that an entry has sent. It uses the
+// addresses of the settings until there is a list, and adds them while the whole subset fails: the
+// entries on a list may all have ended since. Entries in their backoff period are left out. a.mu is
+// held.
 func (a *Agent) subset() []string {
 	now := time.Now()
 	chosen := slices.Clone(a.Entries)
@@ -107,7 +108,7 @@
 	})
 }
 
-// failed notes that the connection to an entry broke; a.mu is held.
+// failed records that the connection to an entry broke; a.mu is held.
 func (a *Agent) failed(address string) {
 	now := time.Now()
 	maps.DeleteFunc(a.failures, func(_ string, f failure) bool { return now.Sub(f.until) > redial.Max })
@@ -117,19 +118,20 @@
 	a.failures[address] = f
 }
 
-// hear takes in news from an entry.
-func (a *Agent) hear(news *wire.News) {
+// handleUpdate handles an update from an entry.
+func (a *Agent) handleUpdate(update *wire.News) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.fence = a.fence.WithTerm(news.GetTerm())
-	if len(news.GetEntries()) > 0 {
+	a.fence = a.fence.WithTerm(update.GetTerm())
+	if len(update.GetEntries()) > 0 {
 		clear(a.failures)
-		a.entries = news.GetEntries()
+		a.entries = update.GetEntries()
 		a.entriesHash = EntriesHash(a.entries)
 	}
 }
 
-// EntriesHash returns a hash of a list of entries, 0 for the empty list.
+// EntriesHash returns a hash of a list of entries that does not depend on their order, 0 for the
+// empty list.
 func EntriesHash(entries []*wire.Peer) uint64 {
 	var sum uint64
 	for _, e := range entries {
--- a/role/agent/calls.go
+++ b/role/agent/calls.go
@@ -11,7 +11,7 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// maxStored is the size of the largest answer kept for callers that ask again.
+// maxStored is the size in bytes of the largest answer that is kept for repeated calls.
 const maxStored = 16 << 10
 
 // call runs one request at the plain service.
@@ -33,14 +33,14 @@
 	}
 	a.mu.Unlock()
 	if verdict == once.Start {
-		// The call goes on when the entry hangs up: it has started.
+		// The call has started, so it continues if the entry hangs up.
 		return a.runOnce(context.WithoutCancel(ctx), ticket, c), nil
 	}
-	return a.known(ctx, ticket.Key, verdict)
+	return a.recordedReply(ctx, ticket.Key, verdict)
 }
 
-// refuseCall returns the refusal of a call that cannot be taken. Otherwise the
-// call counts as in flight.
+// refuseCall returns a refusal if the call cannot be accepted. Otherwise it counts the call as in
+// flight and returns nil.
 func (a *Agent) refuseCall(c *wire.Call) *wire.CallReply {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -70,7 +70,7 @@
 	a.running--
 }
 
-// runOnce runs a call that this agent will never start again.
+// runOnce runs a call that this agent must never start again.
 func (a *Agent) runOnce(ctx context.Context, ticket once.Ticket, c *wire.Call) *wire.CallReply {
 	reply := a.run(ctx, c)
 	a.mu.Lock()
@@ -90,7 +90,8 @@
 	return reply
 }
 
-// stored returns what is kept of a reply.
+// stored returns the reply to keep: the given one, or one with an unknown outcome if its body is
+// too large to keep.
 func stored(reply *wire.CallReply) *wire.CallReply {
 	if len(reply.GetBody()) <= maxStored {
 		return reply
@@ -100,15 +101,15 @@
 	}
 }
 
-// known answers a call that does not start here and now.
-func (a *Agent) known(ctx context.Context, key once.Key, verdict once.Verdict) (*wire.CallReply, error) {
+// recordedReply answers a call that verdict does not allow to start.
+func (a *Agent) recordedReply(ctx context.Context, key once.Key, verdict once.Verdict) (*wire.CallReply, error) {
 	switch verdict {
 	case once.Barred:
 		return notRun("the claim was settled as not run"), nil
 	case once.Full:
 		return notRun("too many calls are remembered"), nil
 	case once.Wait:
-		return a.await(ctx, key), nil
+		return a.awaitCall(ctx, key), nil
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -118,8 +119,8 @@
 	return &wire.CallReply{Outcome: wire.CallReply_UNKNOWN, Detail: "no reply is held"}, nil
 }
 
-// await waits for the call that is running.
-func (a *Agent) await(ctx context.Context, key once.Key) *wire.CallReply {
+// awaitCall waits for the call with the key to end, and returns its reply.
+func (a *Agent) awaitCall(ctx context.Context, key once.Key) *wire.CallReply {
 	a.mu.Lock()
 	waiter := a.waiters[key]
 	a.mu.Unlock()
@@ -166,7 +167,8 @@
 	}
 }
 
-// settle answers what became of a call, and bars it when it has not started.
+// settle reports the outcome of a call. If the call has not started, settle prevents it from
+// starting later.
 func (a *Agent) settle(ctx context.Context, s *wire.Settle) (*wire.CallReply, error) {
 	if s.GetIncarnation() != a.incarnation {
 		return &wire.CallReply{Outcome: wire.CallReply_UNKNOWN, Detail: "another incarnation may have run it"}, nil
@@ -184,5 +186,5 @@
 	case once.Forgotten:
 		return &wire.CallReply{Outcome: wire.CallReply_UNKNOWN, Detail: "too long ago to tell"}, nil
 	}
-	return a.known(ctx, ticket.Key, verdict)
+	return a.recordedReply(ctx, ticket.Key, verdict)
 }
--- a/role/agent/orders.go
+++ b/role/agent/orders.go
@@ -7,8 +7,8 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// order takes an order to load layers, or refuses it. The answer comes before
-// the engine has loaded; heartbeats tell when it has.
+// order accepts or refuses an order to load layers. It answers before the engine has loaded them;
+// heartbeats report when it has.
 func (a *Agent) order(_ context.Context, o *wire.Order) (*wire.OrderReply, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -25,12 +25,12 @@
 	layers := layer.Range{First: int(o.GetFirst()), End: int(o.GetEnd())}
 	a.Log.Info().Uint64("term", o.GetTerm()).Str("giver", o.GetGiver()).Str("service", o.GetService()).
 		Stringer("layers", layers).Msg("order taken")
-	go a.obey(o, layers)
+	go a.execute(o, layers)
 	return &wire.OrderReply{Accepted: true, Term: a.fence.Term}, nil
 }
 
-// obey lets the engine load and takes in what it then holds.
-func (a *Agent) obey(o *wire.Order, layers layer.Range) {
+// execute makes the engine load the layers, and records its new status.
+func (a *Agent) execute(o *wire.Order, layers layer.Range) {
 	ctx := context.Background()
 	err := a.Engine.Load(ctx, o.GetTerm(), o.GetService(), layers)
 	status, statusErr := a.Engine.Status(ctx)
--- a/role/agent/steps.go
+++ b/role/agent/steps.go
@@ -9,33 +9,32 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// session is one request at this stage. With open nil it is a grave: it only
-// remembers which attempts are barred.
+// session is the state of one request at this stage. If open is nil, the session is a tombstone
+// that only records which attempts are barred.
 type session struct {
 	fence fence.Session
 	open  *wire.Open
 	stage int
-	// request is the ID as it travels.
+	// request is the ID of the request in wire format.
 	request []byte
-	// output and payload are those of the last step, for replays.
-	output *wire.EngineOutput
-	loads  []*wire.Load
-	moved  time.Time
+	// output and loads are those of the last step, kept for replays.
+	output       *wire.EngineOutput
+	loads        []*wire.Load
+	lastProgress time.Time
 }
 
-// grave is a session that ended, to be forgotten at a time.
-type grave struct {
+// tombstone is the end of an attempt, to be forgotten after tombstoneTTL.
+type tombstone struct {
 	request string
 	attempt uint32
 	at      time.Time
 }
 
-// graveKeep is how long the agent remembers that an attempt ended, and
-// idleLimit how long a session may go without a step before its owner counts
-// as gone.
+// tombstoneTTL is how long the agent remembers that an attempt has ended. idleLimit is how long a
+// session may make no progress before its owner is considered gone.
 const (
-	graveKeep = time.Minute
-	idleLimit = 2 * time.Minute
+	tombstoneTTL = time.Minute
+	idleLimit    = 2 * time.Minute
 )
 
 func (s *session) trouble(endpoint string, reason wire.Trouble_Reason, detail string) *wire.Trouble {
@@ -45,18 +44,18 @@
 	}
 }
 
-// next returns the index of the stage after s, which is 0 after the last.
+// next returns the index of the stage after s; after the last stage it returns 0.
 func (s *session) next() int {
 	return (s.stage + 1) % len(s.open.GetChain())
 }
 
-// last reports whether s is the last stage of its chain.
+// last reports whether s is at the last stage of its chain.
 func (s *session) last() bool {
 	return s.stage == len(s.open.GetChain())-1
 }
 
-// take handles one frame of a peer.
-func (a *Agent) take(batch *wire.Batch) {
+// handleFrame handles one frame from a peer.
+func (a *Agent) handleFrame(batch *wire.Batch) {
 	for _, c := range batch.GetCancels() {
 		a.cancel(c)
 	}
@@ -64,11 +63,11 @@
 		a.step(s)
 	}
 	for _, n := range batch.GetNews() {
-		a.hear(n)
+		a.handleUpdate(n)
 	}
 }
 
-// step admits one step, or refuses it.
+// step admits or refuses one step.
 func (a *Agent) step(m *wire.Step) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -101,7 +100,7 @@
 	}
 }
 
-// restart takes in the first step of an attempt; a.mu is held.
+// restart handles the first step of an attempt; a.mu is held.
 func (a *Agent) restart(key string, s *session, m *wire.Step, id fence.Step) {
 	open := m.GetOpen()
 	if open == nil || int(m.GetStage()) >= len(open.GetChain()) {
@@ -123,7 +122,8 @@
 	a.start(s, m, id)
 }
 
-// refusal returns why a new attempt cannot be taken; a.mu is held.
+// refusal returns the reason for which a new attempt cannot be accepted, REASON_UNSPECIFIED if it
+// can; a.mu is held.
 func (a *Agent) refusal(s *session, stage *wire.Stage, model string) (wire.Trouble_Reason, string) {
 	held := a.status.Layers
 	switch {
@@ -140,9 +140,9 @@
 	return wire.Trouble_REASON_UNSPECIFIED, ""
 }
 
-// refuse bars the attempt for good and tells its owner; a.mu is held.
+// refuse bars the attempt permanently and notifies its owner; a.mu is held.
 func (a *Agent) refuse(key string, s *session, m *wire.Step, reason wire.Trouble_Reason, detail string) {
-	a.bury(key, s, m.GetAttempt())
+	a.bar(key, s, m.GetAttempt())
 	a.Log.Info().Hex("request", m.GetRequest()).Uint32("attempt", m.GetAttempt()).
 		Stringer("reason", reason).Str("detail", detail).Msg("attempt refused")
 	trouble := &wire.Trouble{
@@ -155,12 +155,12 @@
 // start queues a step for the engine; a.mu is held.
 func (a *Agent) start(s *session, m *wire.Step, id fence.Step) {
 	s.fence = s.fence.WithStarted(id)
-	s.moved = time.Now()
-	a.queue = append(a.queue, work{session: s, id: id, step: m, priority: s.open.GetPriority(), came: s.moved})
+	s.lastProgress = time.Now()
+	a.queue = append(a.queue, work{session: s, id: id, step: m, priority: s.open.GetPriority(), queuedAt: s.lastProgress})
 	a.signal()
 }
 
-// gap tells the owner that an earlier position is missing; a.mu is held.
+// gap notifies the owner that an earlier position is missing; a.mu is held.
 func (a *Agent) gap(s *session, m *wire.Step) {
 	open := s.open
 	if open == nil {
@@ -175,7 +175,7 @@
 	})
 }
 
-// complete takes in what the engine made of a step.
+// complete handles the result of the engine for a step.
 func (a *Agent) complete(w work, output *wire.EngineOutput, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -191,29 +191,29 @@
 	if detail != "" {
 		a.Log.Warn().Hex("request", s.request).Str("detail", detail).Msg("engine failed a step")
 		a.links.Trouble(s.open.GetOwner(), s.trouble(a.Name, wire.Trouble_ENGINE, detail))
-		a.bury(string(s.request), s, w.id.Attempt)
+		a.bar(string(s.request), s, w.id.Attempt)
 		return
 	}
 	s.fence = next
 	s.output = output
-	s.moved = time.Now()
+	s.lastProgress = time.Now()
 	s.loads = a.loads(w)
 	a.forward(s, w.id, w.step.GetOpen())
 }
 
-// loadEvery is the number of positions between two load reports along a chain.
-const loadEvery = 16
+// loadInterval is the number of positions between two load reports along a chain.
+const loadInterval = 16
 
-// loads returns the reports to send along with the output of w: those that
-// came with it and the agent's own; a.mu is held.
+// loads returns the load reports to send with the output of w: those received with the step, and
+// the agent's own; a.mu is held.
 func (a *Agent) loads(w work) []*wire.Load {
-	if w.id.Position%loadEvery != 0 {
+	if w.id.Position%loadInterval != 0 {
 		return nil
 	}
 	return append(w.step.GetLoads(), a.load())
 }
 
-// load returns the agent's report; a.mu is held.
+// load returns the agent's own load report; a.mu is held.
 func (a *Agent) load() *wire.Load {
 	return &wire.Load{
 		Endpoint: a.Name, Sessions: uint32(a.active + a.running), Limit: uint32(a.learned.Value()),
@@ -221,8 +221,8 @@
 	}
 }
 
-// forward sends the output of step id on its way; a.mu is held. Open goes with
-// the first step of an attempt only.
+// forward sends the output of step id to the next stage, or at the last stage to the owner and the
+// first stage; a.mu is held. Open is sent only with the first step of an attempt.
 func (a *Agent) forward(s *session, id fence.Step, open *wire.Open) {
 	if open == nil && id.Position == 0 {
 		open = s.open
@@ -235,22 +235,22 @@
 		})
 		return
 	}
-	made := id.Position + id.Count
-	end := s.output.GetEnd() || made+1 >= s.open.GetLimit()
+	produced := id.Position + id.Count
+	end := s.output.GetEnd() || produced+1 >= s.open.GetLimit()
 	a.links.Token(s.open.GetOwner(), &wire.Token{
-		Request: s.request, Attempt: id.Attempt, Position: made,
+		Request: s.request, Attempt: id.Attempt, Position: produced,
 		Token: s.output.GetToken(), End: end, Loads: s.loads,
 	})
 	if end {
 		return
 	}
 	a.links.Step(chain[0].GetAddress(), &wire.Step{
-		Request: s.request, Attempt: id.Attempt, Position: made, Count: 1,
+		Request: s.request, Attempt: id.Attempt, Position: produced, Count: 1,
 		Payload: binary.LittleEndian.AppendUint32(nil, s.output.GetToken()),
 	})
 }
 
-// cancel bars attempts of a request.
+// cancel bars the attempts of a request up to the given one.
 func (a *Agent) cancel(c *wire.Cancel) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -260,13 +260,12 @@
 		s = &session{request: c.GetRequest()}
 	}
 	if c.GetAttempt() >= s.fence.Attempt {
-		a.bury(key, s, c.GetAttempt())
+		a.bar(key, s, c.GetAttempt())
 	}
 }
 
-// bury bars attempts up to the one given and releases what the session holds;
-// a.mu is held.
-func (a *Agent) bury(key string, s *session, attempt uint32) {
+// bar bars attempts up to the given one and releases what the session holds; a.mu is held.
+func (a *Agent) bar(key string, s *session, attempt uint32) {
 	if s.open != nil {
 		a.release(s)
 		a.active--
@@ -275,16 +274,16 @@
 	s.output = nil
 	s.fence = s.fence.WithCancelled(attempt)
 	a.sessions[key] = s
-	a.graves = append(a.graves, grave{key, attempt, time.Now()})
+	a.tombstones = append(a.tombstones, tombstone{key, attempt, time.Now()})
 }
 
-// release lets the engine drop the cache of the session's attempt; a.mu is held.
+// release queues the release of the engine's cache for the session's attempt; a.mu is held.
 func (a *Agent) release(s *session) {
 	a.releases = append(a.releases, &wire.Cancel{Request: s.request, Attempt: s.fence.Attempt})
 }
 
-// peerDown handles the end of the connection to a peer: attempts whose next
-// stage it was are in trouble, and requests whose owner it was are cancelled.
+// peerDown handles the end of the connection to a peer. It notifies the owners of attempts whose
+// next stage was the peer, and cancels requests whose owner was the peer.
 func (a *Agent) peerDown(address string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -296,7 +295,7 @@
 		}
 		next := s.open.GetChain()[s.next()]
 		if s.last() && s.open.GetOwner() == address {
-			a.orphan(key, s)
+			a.cancelOrphan(key, s)
 			continue
 		}
 		if next.GetAddress() == address {
@@ -306,19 +305,19 @@
 	}
 }
 
-// orphan cancels a request whose owner is gone, here and at the other stages;
-// a.mu is held.
-func (a *Agent) orphan(key string, s *session) {
+// cancelOrphan cancels a request whose owner is gone, at this stage and at all others; a.mu is
+// held.
+func (a *Agent) cancelOrphan(key string, s *session) {
 	cancel := &wire.Cancel{Request: s.request, Attempt: s.fence.Attempt}
 	for i, stage := range s.open.GetChain() {
 		if i != s.stage {
 			a.links.Cancel(stage.GetAddress(), cancel)
 		}
 	}
-	a.bury(key, s, s.fence.Attempt)
+	a.bar(key, s, s.fence.Attempt)
 }
 
-// sweep forgets graves and sessions whose owner has been silent for long.
+// sweep removes expired tombstones and idle sessions until ctx ends.
 func (a *Agent) sweep(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -327,32 +326,32 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			a.forget(now)
+			a.expire(now)
 		}
 	}
 }
 
-// forget does one round of sweep.
-func (a *Agent) forget(now time.Time) {
+// expire does one round of sweep.
+func (a *Agent) expire(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := 0
-	for n < len(a.graves) && now.Sub(a.graves[n].at) > graveKeep {
-		g := a.graves[n]
+	for n < len(a.tombstones) && now.Sub(a.tombstones[n].at) > tombstoneTTL {
+		g := a.tombstones[n]
 		if s := a.sessions[g.request]; s != nil && s.open == nil && s.fence.Attempt == g.attempt {
 			delete(a.sessions, g.request)
 		}
 		n++
 	}
-	a.graves = append(a.graves[:0], a.graves[n:]...)
+	a.tombstones = append(a.tombstones[:0], a.tombstones[n:]...)
 	for key, s := range a.sessions {
-		if s.open != nil && now.Sub(s.moved) > idleLimit {
-			a.orphan(key, s)
+		if s.open != nil && now.Sub(s.lastProgress) > idleLimit {
+			a.cancelOrphan(key, s)
 		}
 	}
 }
 
-// probe answers how far an attempt has come here.
+// probe reports the progress of an attempt at this stage.
 func (a *Agent) probe(_ context.Context, p *wire.Probe) (*wire.ProbeReply, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
