--- a/role/entry/call.go
+++ b/role/entry/call.go
@@ -25,10 +25,10 @@
 func (e *Entry) Call(ctx context.Context, c router.Call) (router.Reply, error) {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
-	defer e.enlist(c.Team)()
+	defer e.countRequest(c.Team)()
 	id := uuid.New()
 	reply, err := e.callService(ctx, c, id)
-	e.ended(c.Team, c.Service, hex.EncodeToString(id[:]), err)
+	e.recordEnd(c.Team, c.Service, hex.EncodeToString(id[:]), err)
 	return reply, err
 }
 
@@ -43,7 +43,7 @@
 	}, service.Repeatable)
 	ctx, cancel := e.deadline(ctx, c.Deadline, d.Deadline)
 	defer cancel()
-	e.firstTry()
+	e.countFirstAttempt()
 	run := &call{
 		entry: e, request: c, decision: d, id: id, weight: snapshot.State.Teams[c.Team].Value.Weight,
 	}
@@ -54,7 +54,7 @@
 	return run.once(ctx)
 }
 
-// once runs a call that may run at most once.
+// once runs a call that must run at most once.
 func (c *call) once(ctx context.Context) (router.Reply, error) {
 	runner := &runonce.Runner{
 		Claims: c.entry.claims, Agents: c, Seats: c, MayRetry: c.entry.mayRetry,
@@ -64,11 +64,11 @@
 	if report != nil {
 		return router.Reply{}, report
 	}
-	return answered(reply), nil
+	return callerReply(reply), nil
 }
 
-// keys returns the hash that the call is fenced by, and that of its content. A
-// call without an idempotency key gets a key of its own.
+// keys returns the hash of the identity of the call, by which it is fenced, and the hash of its
+// content. A call without an idempotency key gets a unique identity.
 func keys(c router.Call, id uuid.UUID) (key []byte, digest string) {
 	name := "id\x00" + id.String()
 	if c.Key != "" {
@@ -82,7 +82,7 @@
 	return sum[:keyBytes], hex.EncodeToString(content.Sum(nil)[:keyBytes])
 }
 
-// call is one call of a plain service, owned by this entry.
+// call is one call to a plain service, owned by this entry.
 type call struct {
 	entry    *Entry
 	request  router.Call
@@ -100,9 +100,9 @@
 
 // Enter implements runonce.Seats.
 func (c *call) Enter(ctx context.Context, avoid map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
-	s, report := c.entry.gate.Enter(ctx, gate.Ticket[*seat]{
+	s, report := c.entry.gate.Enter(ctx, gate.Ticket[*reservation]{
 		Lane: c.request.Service, Team: c.request.Team, Weight: c.weight, Priority: c.decision.Priority, Cost: 1,
-		Try: func() (*seat, gate.Answer) { return c.entry.endpoint(c.request.Service, avoid) },
+		Try: func() (*reservation, gate.Answer) { return c.entry.reserveEndpoint(c.request.Service, avoid) },
 	})
 	if report != nil {
 		return fleet.Endpoint{}, nil, report
@@ -145,7 +145,7 @@
 		return nil, err
 	}
 	if reply.GetLoad() != nil {
-		c.entry.loaded(reply.GetLoad())
+		c.entry.recordLoads(reply.GetLoad())
 	}
 	return reply, nil
 }
@@ -166,12 +166,12 @@
 	for why := "least loaded"; ; {
 		at, leave, report := c.Enter(ctx, avoid)
 		if report != nil {
-			return router.Reply{}, sorted(ran, report)
+			return router.Reply{}, withRan(ran, report)
 		}
 		reply, err := c.Send(ctx, at, claim.Claim{}, why)
 		leave()
 		if err == nil && reply.GetOutcome() == wire.CallReply_DONE {
-			return answered(reply), nil
+			return callerReply(reply), nil
 		}
 		why = "refused: " + reply.GetDetail()
 		if err != nil {
@@ -180,23 +180,23 @@
 		ran = ran || err != nil || reply.GetOutcome() != wire.CallReply_NOT_RUN
 		avoid[at.Name] = true
 		if ctx.Err() != nil {
-			return router.Reply{}, sorted(ran, outcome.Refuse(outcome.DeadlineOver, ctx.Err().Error(), retryAfter))
+			return router.Reply{}, withRan(ran, outcome.Refuse(outcome.DeadlineOver, ctx.Err().Error(), retryAfter))
 		}
 		if !c.entry.mayRetry() {
-			return router.Reply{}, sorted(ran, outcome.Refuse(outcome.RetryExceeded, why, retryAfter))
+			return router.Reply{}, withRan(ran, outcome.Refuse(outcome.RetryExceeded, why, retryAfter))
 		}
 	}
 }
 
-// sorted makes a NotRun report into a Failed one when the call may have run.
-func sorted(ran bool, r *outcome.Report) *outcome.Report {
+// withRan changes the kind of r from NotRun to Failed if the call may have run.
+func withRan(ran bool, r *outcome.Report) *outcome.Report {
 	if ran {
 		r.Kind = outcome.Failed
 	}
 	return r
 }
 
-// answered returns the reply as callers get it.
-func answered(r *wire.CallReply) router.Reply {
+// callerReply converts a reply for the caller.
+func callerReply(r *wire.CallReply) router.Reply {
 	return router.Reply{Status: int(r.GetStatus()), Body: r.GetBody(), ContentType: r.GetContentType()}
 }
--- a/role/entry/complete.go
+++ b/role/entry/complete.go
@@ -17,9 +17,9 @@
 func (e *Entry) Complete(ctx context.Context, c router.Completion, emit func(uint32) error) (router.Usage, error) {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
-	defer e.enlist(c.Team)()
+	defer e.countRequest(c.Team)()
 	usage, err := e.complete(ctx, c, emit)
-	e.ended(c.Team, c.Service, usage.Request, err)
+	e.recordEnd(c.Team, c.Service, usage.Request, err)
 	return usage, err
 }
 
@@ -34,12 +34,12 @@
 	}, service.Repeatable)
 	ctx, cancel := e.deadline(ctx, c.Deadline, d.Deadline)
 	defer cancel()
-	e.firstTry()
+	e.countFirstAttempt()
 	start := time.Now()
-	s, report := e.gate.Enter(ctx, gate.Ticket[*seat]{
+	s, report := e.gate.Enter(ctx, gate.Ticket[*reservation]{
 		Lane: c.Service, Team: c.Team, Weight: snapshot.State.Teams[c.Team].Value.Weight,
 		Priority: d.Priority, Cost: float64(len(c.Prompt) + c.MaxTokens),
-		Try: func() (*seat, gate.Answer) { return e.chain(c.Service, nil, false) },
+		Try: func() (*reservation, gate.Answer) { return e.reserveChain(c.Service, nil, false) },
 	})
 	if report != nil {
 		return router.Usage{}, report
@@ -72,13 +72,13 @@
 	return service.Value, nil
 }
 
-// allowed reports whether a list of services, where empty means all, has name.
+// allowed reports whether name is in services; an empty list allows all.
 func allowed(services []string, name string) bool {
 	return len(services) == 0 || slices.Contains(services, name)
 }
 
-// enlist counts a request of a team until the returned function is called.
-func (e *Entry) enlist(team string) (done func()) {
+// countRequest counts a request of a team as in flight until done is called.
+func (e *Entry) countRequest(team string) (done func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.teamLoad[team]++
@@ -98,8 +98,8 @@
 	return e.teamLoad[team]
 }
 
-// deadline bounds ctx by the earliest of the caller's, the policy's and the
-// entry's own bound.
+// deadline bounds ctx by the earliest of the caller's deadline and the limits of the policy and the
+// entry.
 func (e *Entry) deadline(ctx context.Context, caller time.Time, bound time.Duration) (context.Context, context.CancelFunc) {
 	limit := e.MaxDeadline
 	if bound > 0 {
@@ -112,8 +112,8 @@
 	return context.WithDeadline(ctx, at)
 }
 
-// firstTry counts a first try, and mayRetry asks for a second one.
-func (e *Entry) firstTry() {
+// countFirstAttempt counts a first attempt in the retry budget.
+func (e *Entry) countFirstAttempt() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Retries.First(time.Now())
@@ -125,14 +125,14 @@
 	return e.Retries.Allow(time.Now())
 }
 
-// ended counts and logs the end of a request.
-func (e *Entry) ended(team, service, request string, err error) {
+// recordEnd counts and logs the end of a request.
+func (e *Entry) recordEnd(team, service, request string, err error) {
 	kind, code, detail := outcome.Done, outcome.Code(""), ""
 	if report, ok := outcome.Of(err); ok {
 		kind, code, detail = report.Kind, report.Code, report.Detail
 	}
 	if _, known := e.config.Current().State.Services[service]; !known {
-		service = "unknown" // keeps the labels bounded
+		service = "unknown" // bounds the number of label values
 	}
 	e.Meter.Ended(team, service, kind.String(), string(code))
 	e.Log.Info().Str("request", request).Str("team", team).Str("service", service).
--- a/role/entry/entry.go
+++ b/role/entry/entry.go
@@ -1,6 +1,9 @@
-// Package entry is the process between callers and agents: it admits requests,
-// chooses their chains, owns each until its final answer, and takes the
-// operators' changes.
+// Package entry implements the entry, the process between callers and agents. It admits requests,
+// chooses a chain of endpoints for each, owns each request until its final answer, and accepts the
+// operators' changes of the configuration.
+//
+// Set the exported fields of [Entry], then call Prepare and Run. Callers are served through the
+// methods of [router.Router].
 package entry
 
 import (
@@ -33,56 +36,54 @@
 	"github.com/grademill/grademill/state/replica"
 )
 
-// Entry is one entry process. Set the exported fields, then call Prepare and
-// Run.
+// Entry is one entry process. Set the exported fields, then call Prepare and Run.
 type Entry struct {
 	// Name is the entry's name, unique in the fleet.
 	Name string
 	// Hall is the data hall of the host.
 	Hall string
-	// Address is where peers reach this entry.
+	// Address is the address for connections from peers.
 	Address string
-	// Peers are the addresses of entries to begin with.
+	// Peers are the addresses of the entries to contact at start.
 	Peers []string
 	// Store is the platform's key-value service.
 	Store kv.Store
-	// Hosts is the platform's list of hosts.
+	// Hosts reads the platform's list of hosts.
 	Hosts hosts.Lister
-	// Links is the one-way time between two data halls.
+	// Links holds the one-way latencies between data halls.
 	Links route.Links
-	// MaxQueue is the number of requests of a service that wait at most.
+	// MaxQueue is the maximum number of requests of a service that wait.
 	MaxQueue int
-	// MaxDeadline bounds every request.
+	// MaxDeadline bounds the deadline of every request.
 	MaxDeadline time.Duration
-	// MinStall and MaxStall bound how long an attempt may make no progress.
+	// MinStall and MaxStall bound how long an attempt may make no progress before it counts as
+	// stalled.
 	MinStall, MaxStall time.Duration
-	// RecoverWait is how long a request that lost its chain waits for another.
+	// RecoverWait is how long a request that lost its chain waits for another one.
 	RecoverWait time.Duration
-	// Expiry is how long an endpoint counts without a heartbeat.
+	// Expiry is how long an endpoint stays in use without a heartbeat.
 	Expiry time.Duration
-	// Sync is the time between two questions to a peer for changes.
+	// Sync is the mean interval between requests to peers for changes.
 	Sync time.Duration
-	// ListEvery is the time between two reads of the list of hosts.
+	// ListEvery is the mean interval between reads of the list of hosts.
 	ListEvery time.Duration
-	// Watchers is the number of entries in a hall that watch the platform.
+	// Watchers is the number of entries per hall that watch the platform for changes.
 	Watchers int
-	// Retries bounds second tries; its unexported state is the entry's.
+	// Retries bounds retries. Its unexported state belongs to the entry.
 	Retries retry.Budget
-	// ClaimKeep is how long a claim is remembered, and with it an idempotency
-	// key.
+	// ClaimKeep is how long a claim, and with it an idempotency key, is remembered.
 	ClaimKeep time.Duration
-	// OrderLease is the life of the lease of whoever gives orders.
+	// OrderLease is the duration of the lease of the leader, the entry that gives orders.
 	OrderLease time.Duration
-	// DrainTimeout bounds how long a stop waits for requests in flight.
+	// DrainTimeout bounds how long a stopping entry waits for requests in flight.
 	DrainTimeout time.Duration
-	// Meter counts; nil for none.
+	// Meter records metrics; Prepare creates one if it is nil.
 	Meter *meter.Entry
-	// Log gets the entry's lines, one for each decision.
+	// Log receives the entry's log lines, one for each decision.
 	Log zerolog.Logger
-	// Servers run beside the entry: the callers' and the operators'.
+	// Servers are run together with the entry: the callers' and the operators' APIs.
 	Servers []transport.Server
-	// Chooser replaces the choice of chains, for comparisons; nil for the
-	// router's own.
+	// Chooser replaces the choice of chains, for comparisons; nil means [route.Table.Choose].
 	Chooser Chooser
 
 	incarnation uint64
@@ -92,53 +93,54 @@
 	config      *replica.Config
 	changes     *conflog.Log
 	claims      *claimlog.Log
-	gate        gate.Gate[*seat]
+	gate        gate.Gate[*reservation]
 	snapshot    atomic.Pointer[view.Snapshot]
 	term        atomic.Uint64
 	seed        atomic.Uint64
 	inFlight    atomic.Int64
 	process     *process.Process
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	view      view.View
 	peers     member.Set
 	revisions map[string]uint64
 	stalls    map[string]stalls
 	teamLoad  map[string]int
-	// calls are the calls that wait for an endpoint.
+	// calls holds the cancel functions of the calls in flight, by endpoint.
 	calls map[string]map[uuid.UUID]context.CancelFunc
 
 	flightsMu sync.RWMutex
 	flights   map[[requestBytes]byte]*flight
 }
 
-// Chooser chooses a chain in place of the table's own way.
+// Chooser chooses a chain in place of [route.Table.Choose].
 type Chooser func(t *route.Table, seed uint64) (route.Choice, bool)
 
-// stalls are the learned times of a service.
+// stalls holds the learned stall timeouts of a service: for the first token of an attempt, and
+// between tokens.
 type stalls struct {
 	first, between timeout.Estimator
 }
 
-// claimGather is how long claims wait for others to share a write, and
-// claimTimeout how long a caller waits for the platform.
+// claimBatchDelay is how long a claim waits for others to share a write, and claimTimeout how long
+// a caller waits for the platform.
 const (
-	claimGather  = 5 * time.Millisecond
-	claimTimeout = 2 * time.Second
+	claimBatchDelay = 5 * time.Millisecond
+	claimTimeout    = 2 * time.Second
 )
 
-// peerKeep is how long an entry counts that only peers have told of.
-const peerKeep = 30 * time.Second
+// peerTTL is how long an entry stays known that only peers have reported.
+const peerTTL = 30 * time.Second
 
-// Prepare makes the entry ready for Run and for callers.
+// Prepare initializes the entry. It must be called before Run and before callers are served.
 func (e *Entry) Prepare() {
 	e.incarnation = uint64(time.Now().UnixNano())
 	e.config = replica.New()
 	e.changes = conflog.New(e.Store, e.config)
-	e.claims = &claimlog.Log{Store: e.Store, Keep: e.ClaimKeep, Gather: claimGather, Timeout: claimTimeout}
+	e.claims = &claimlog.Log{Store: e.Store, Keep: e.ClaimKeep, Gather: claimBatchDelay, Timeout: claimTimeout}
 	e.gate.MaxQueue = e.MaxQueue
 	e.view = view.View{Home: e.Hall, Links: e.Links, Expiry: e.Expiry}
-	e.peers = member.Set{Keep: peerKeep}
+	e.peers = member.Set{Keep: peerTTL}
 	e.revisions = make(map[string]uint64)
 	e.stalls = make(map[string]stalls)
 	e.teamLoad = make(map[string]int)
@@ -153,15 +155,15 @@
 
 var _ router.Router = (*Entry)(nil)
 
-// Run serves until ctx ends or the process is told to stop.
+// Run serves until ctx ends or the process receives a stop signal.
 func (e *Entry) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	server := &listen.Server{Address: e.Address, Batch: e.take, Calls: e.methods(), Log: e.Log}
+	server := &listen.Server{Address: e.Address, Batch: e.handleFrame, Calls: e.methods(), Log: e.Log}
 	if err := server.Listen(); err != nil {
 		return err
 	}
-	for _, loop := range []func(context.Context){e.follow, e.watch, e.list, e.tend, e.lead} {
+	for _, loop := range []func(context.Context){e.syncPeers, e.watch, e.list, e.maintain, e.lead} {
 		go loop(ctx)
 	}
 	servers := append([]transport.Server{server}, e.Servers...)
@@ -178,18 +180,18 @@
 	return e.process.Stop()
 }
 
-// Ready reports whether callers should be sent here: the entry knows the
-// configuration, has heard of an endpoint, and is not leaving.
+// Ready reports whether the entry can serve callers: it has the configuration, knows an endpoint,
+// and is not leaving.
 func (e *Entry) Ready() bool {
 	return !e.draining.Load() && e.config.Revision() > 0 && len(e.snapshot.Load().All) > 0
 }
 
-// Changes is the log that operators write to.
+// Changes returns the log to which operators' changes are written.
 func (e *Entry) Changes() *conflog.Log {
 	return e.changes
 }
 
-// Config is the configuration in force here.
+// Config returns the configuration in force at this entry.
 func (e *Entry) Config() *replica.Config {
 	return e.config
 }
@@ -203,7 +205,7 @@
 	return nil
 }
 
-// methods are the control calls that the entry answers.
+// methods returns the control calls that the entry answers.
 func (e *Entry) methods() rpc.Methods {
 	return rpc.Methods{
 		"sync": rpc.Of(e.answerSync),
--- a/role/entry/fleet.go
+++ b/role/entry/fleet.go
@@ -15,8 +15,7 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// heartbeat takes in the report of an agent, and answers when it has missed
-// something.
+// heartbeat handles the heartbeat of an agent, and sends the agent any updates that it has missed.
 func (e *Entry) heartbeat(beat *wire.Heartbeat) {
 	now := time.Now()
 	e.mu.Lock()
@@ -43,21 +42,21 @@
 		e.rebuild()
 	}
 	e.raiseTerm(beat.GetTerm())
-	e.tell(endpoint, beat, entries)
+	e.sendUpdate(endpoint, beat, entries)
 }
 
-// tell sends an agent what it has missed, and nothing when that is nothing.
-func (e *Entry) tell(to fleet.Endpoint, beat *wire.Heartbeat, entries []*wire.Peer) {
-	news := &wire.News{Term: e.term.Load()}
+// sendUpdate sends an agent the updates that it has missed, if any.
+func (e *Entry) sendUpdate(to fleet.Endpoint, beat *wire.Heartbeat, entries []*wire.Peer) {
+	update := &wire.News{Term: e.term.Load()}
 	if beat.GetEntriesHash() != agent.EntriesHash(entries) {
-		news.Entries = entries
+		update.Entries = entries
 	}
-	if len(news.GetEntries()) > 0 || news.GetTerm() > beat.GetTerm() {
-		e.links.News(to.Address, news)
+	if len(update.GetEntries()) > 0 || update.GetTerm() > beat.GetTerm() {
+		e.links.News(to.Address, update)
 	}
 }
 
-// reportOf returns a load report as the view takes it.
+// reportOf converts a load report for the view.
 func reportOf(l *wire.Load) route.Report {
 	return route.Report{
 		Sessions: int(l.GetSessions()), Limit: int(l.GetLimit()), Batch: int(l.GetBatch()),
@@ -65,7 +64,7 @@
 	}
 }
 
-// raiseTerm notes the highest term heard of.
+// raiseTerm records the highest term seen.
 func (e *Entry) raiseTerm(term uint64) {
 	for {
 		have := e.term.Load()
@@ -75,8 +74,7 @@
 	}
 }
 
-// rebuild publishes a new snapshot of the view, and admits what it makes room
-// for.
+// rebuild publishes a new snapshot of the view, and admits the requests for which it has room.
 func (e *Entry) rebuild() {
 	e.mu.Lock()
 	snapshot := e.view.Snapshot(e.config.Current().State.Services)
@@ -86,8 +84,8 @@
 	e.gate.Poke()
 }
 
-// loaded takes in load reports that came with an answer.
-func (e *Entry) loaded(loads ...*wire.Load) {
+// recordLoads handles the load reports that came with an answer.
+func (e *Entry) recordLoads(loads ...*wire.Load) {
 	if len(loads) == 0 {
 		return
 	}
@@ -98,7 +96,7 @@
 	}
 }
 
-// suspect keeps new work from an endpoint until it is heard of again.
+// suspect keeps new work from an endpoint until its next heartbeat.
 func (e *Entry) suspect(name, why string) {
 	e.mu.Lock()
 	changed := e.view.Suspect(name)
@@ -115,7 +113,7 @@
 	changed := e.view.SuspectAddress(address)
 	e.mu.Unlock()
 	if changed {
-		e.Log.Warn().Str("address", address).Msg("agent is suspect: connection broke")
+		e.Log.Warn().Str("address", address).Msg("connection to agent broke; agent is suspect")
 		e.rebuild()
 	}
 	for _, f := range e.allFlights() {
@@ -123,13 +121,13 @@
 	}
 }
 
-// tendEvery is how often the view is tended.
-const tendEvery = 50 * time.Millisecond
+// maintainInterval is the interval of the maintenance of the view.
+const maintainInterval = 50 * time.Millisecond
 
-// tend forgets silent endpoints, follows changes of the configuration, and
-// admits what reports have made room for.
-func (e *Entry) tend(ctx context.Context) {
-	ticker := time.NewTicker(tendEvery)
+// maintain removes silent endpoints, applies changes of the configuration, and admits requests for
+// which load reports have shown room.
+func (e *Entry) maintain(ctx context.Context) {
+	ticker := time.NewTicker(maintainInterval)
 	defer ticker.Stop()
 	changed := e.config.Changed()
 	for {
@@ -149,8 +147,8 @@
 	}
 }
 
-// expire forgets endpoints that have been silent for too long, and gives up the
-// calls that wait for them.
+// expire removes endpoints that have been silent for too long, and cancels the calls that wait for
+// them.
 func (e *Entry) expire(now time.Time) {
 	e.mu.Lock()
 	silent := e.view.Expire(now)
@@ -173,8 +171,8 @@
 	}
 }
 
-// waitFor returns a context that also ends when an endpoint has been silent for
-// too long, and a function to be called after the wait.
+// waitFor returns a context that also ends when an endpoint has been silent for too long, and a
+// function to call after the wait.
 func (e *Entry) waitFor(ctx context.Context, endpoint string, id uuid.UUID) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	e.mu.Lock()
@@ -194,12 +192,12 @@
 	}
 }
 
-// Snapshot returns the view in force.
+// Snapshot returns the current snapshot of the view.
 func (e *Entry) Snapshot() *view.Snapshot {
 	return e.snapshot.Load()
 }
 
-// Revisions returns the configuration in force at each entry heard of.
+// Revisions returns the revision of the configuration in force at each known entry.
 func (e *Entry) Revisions() map[string]uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/role/entry/flight.go
+++ b/role/entry/flight.go
@@ -17,39 +17,39 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// requestBytes is the size of a request's ID.
+// requestBytes is the size of a request ID.
 const requestBytes = 16
 
-// flight is one request of a model, owned by this entry from its acceptance to
-// its final answer. One goroutine runs it; others push events.
+// flight is a model request in flight, owned by this entry from its admission to its final answer.
+// One goroutine runs it; others push events.
 type flight struct {
-	entry    *Entry
-	id       [requestBytes]byte
-	request  router.Completion
-	decision policy.Decision
-	assembly answer.Assembly
-	seat     *seat
-	avoid    map[string]bool
-	// ran is whether any layer may have run; it never goes back to false.
-	ran bool
-	// moved is the time of the last progress, begun that of the current attempt's start.
-	moved, begun time.Time
-	// lost counts the stages that were lost soon after an attempt began.
-	lost int
+	entry       *Entry
+	id          [requestBytes]byte
+	request     router.Completion
+	decision    policy.Decision
+	assembly    answer.Assembly
+	reservation *reservation
+	avoid       map[string]bool
+	// mayHaveRun is set once any layer may have run, and never reset.
+	mayHaveRun bool
+	// lastProgress is the time of the last progress, attemptStart the start of the current attempt.
+	lastProgress, attemptStart time.Time
+	// earlyLosses counts the stages that were lost soon after the start of an attempt.
+	earlyLosses int
 
 	mu     sync.Mutex
 	inbox  []event
 	notify chan struct{}
 }
 
-// event is something that concerns a flight; one field is set.
+// event is an event for a flight; exactly one field is set.
 type event struct {
 	token   *wire.Token
 	trouble *wire.Trouble
 	down    string
 }
 
-// push gives the flight an event.
+// push queues an event and wakes the flight.
 func (f *flight) push(ev event) {
 	f.mu.Lock()
 	f.inbox = append(f.inbox, ev)
@@ -68,13 +68,13 @@
 	return inbox
 }
 
-// take handles one frame of an agent.
-func (e *Entry) take(batch *wire.Batch) {
+// handleFrame handles one frame from an agent.
+func (e *Entry) handleFrame(batch *wire.Batch) {
 	for _, beat := range batch.GetHeartbeats() {
 		e.heartbeat(beat)
 	}
 	for _, t := range batch.GetTokens() {
-		e.loaded(t.GetLoads()...)
+		e.recordLoads(t.GetLoads()...)
 		if f := e.flight(t.GetRequest()); f != nil {
 			f.push(event{token: t})
 		}
@@ -105,10 +105,10 @@
 	return all
 }
 
-// newFlight registers a flight that holds a seat.
-func (e *Entry) newFlight(c router.Completion, d policy.Decision, s *seat) *flight {
+// newFlight registers a flight that holds a reservation.
+func (e *Entry) newFlight(c router.Completion, d policy.Decision, s *reservation) *flight {
 	f := &flight{
-		entry: e, id: uuid.New(), request: c, decision: d, seat: s,
+		entry: e, id: uuid.New(), request: c, decision: d, reservation: s,
 		assembly: answer.New(len(c.Prompt)), notify: make(chan struct{}, 1),
 	}
 	e.flightsMu.Lock()
@@ -117,7 +117,7 @@
 	return f
 }
 
-// end unregisters the flight and lets every stage forget it.
+// end unregisters the flight and cancels it at every stage.
 func (f *flight) end() {
 	f.entry.flightsMu.Lock()
 	delete(f.entry.flights, f.id)
@@ -125,29 +125,29 @@
 	f.leave()
 }
 
-// leave bars the current attempt at its stages and gives the seat back.
+// leave cancels the current attempt at its stages and releases the reservation.
 func (f *flight) leave() {
-	if f.seat == nil {
+	if f.reservation == nil {
 		return
 	}
 	cancel := &wire.Cancel{Request: f.id[:], Attempt: f.assembly.Attempt}
-	for _, stage := range f.seat.stages {
+	for _, stage := range f.reservation.stages {
 		f.entry.links.Cancel(stage.Endpoint.Address, cancel)
 	}
-	f.seat.release()
-	f.seat = nil
+	f.reservation.release()
+	f.reservation = nil
 	f.entry.gate.Poke()
 }
 
-// dispatch sends the first step of the current attempt: all that is known of
-// the text, so that the tokens go on after those already given.
+// dispatch sends the first step of the current attempt: the prompt and all tokens received so far,
+// so that the answer continues after them.
 func (f *flight) dispatch(why string) {
 	tokens := append(append([]uint32(nil), f.request.Prompt...), f.assembly.Tokens...)
 	open := &wire.Open{
 		Model: f.request.Service, Owner: f.entry.Address, Team: f.request.Team,
 		Limit: f.assembly.Prompt + uint32(f.request.MaxTokens), Priority: f.priority(),
 	}
-	for _, stage := range f.seat.stages {
+	for _, stage := range f.reservation.stages {
 		ep := stage.Endpoint
 		open.Chain = append(open.Chain, &wire.Stage{
 			Endpoint: ep.Name, Address: ep.Address, Incarnation: ep.Incarnation,
@@ -156,19 +156,19 @@
 	}
 	f.entry.Log.Info().Hex("request", f.id[:]).Uint32("attempt", f.assembly.Attempt).
 		Str("team", f.request.Team).Str("service", f.request.Service).Str("policy", f.decision.Policy).
-		Strs("chain", f.seat.names()).Dur("cost", f.seat.choice.Cost).
-		Str("runner_up", f.seat.runnerUp).Dur("runner_up_cost", f.seat.choice.RunnerUpCost).
+		Strs("chain", f.reservation.names()).Dur("cost", f.reservation.choice.Cost).
+		Str("runner_up", f.reservation.runnerUp).Dur("runner_up_cost", f.reservation.choice.RunnerUpCost).
 		Str("reason", why).Msg("chain chosen")
-	f.begun = time.Now()
-	f.moved = f.begun
+	f.attemptStart = time.Now()
+	f.lastProgress = f.attemptStart
 	f.entry.links.Step(open.GetChain()[0].GetAddress(), &wire.Step{
 		Request: f.id[:], Attempt: f.assembly.Attempt, Count: uint32(len(tokens)),
 		Payload: encodeTokens(tokens), Open: open,
 	})
 }
 
-// priority returns the priority at the agents. An answer that lost its chain goes
-// before others of its class: it is late already.
+// priority returns the priority for the agents. A request that lost its chain is late already, so
+// it goes before others of its class.
 func (f *flight) priority() int32 {
 	priority := int32(f.decision.Priority)
 	if f.assembly.Attempt > 1 {
@@ -177,7 +177,7 @@
 	return priority
 }
 
-// encodeTokens returns tokens as the payload of a first stage.
+// encodeTokens encodes tokens as the payload of a first stage.
 func encodeTokens(tokens []uint32) []byte {
 	const tokenBytes = 4
 	payload := make([]byte, 0, len(tokens)*tokenBytes)
@@ -187,10 +187,10 @@
 	return payload
 }
 
-// run carries the flight to its end.
+// run handles events until the answer is complete or the request fails.
 func (f *flight) run(ctx context.Context, emit func(uint32) error) error {
 	f.dispatch("cheapest")
-	timer := time.NewTimer(f.patience())
+	timer := time.NewTimer(f.stallTimeout())
 	defer timer.Stop()
 	for !f.assembly.Complete {
 		var err error
@@ -205,12 +205,12 @@
 		if err != nil {
 			return err
 		}
-		timer.Reset(max(f.patience()-time.Since(f.moved), 0))
+		timer.Reset(max(f.stallTimeout()-time.Since(f.lastProgress), 0))
 	}
 	return nil
 }
 
-// handle takes in what has come.
+// handle handles the queued events.
 func (f *flight) handle(ctx context.Context, emit func(uint32) error) error {
 	for _, ev := range f.events() {
 		var err error
@@ -229,7 +229,7 @@
 	return nil
 }
 
-// token takes in one token and gives it to the caller.
+// token handles one token and passes it to the caller.
 func (f *flight) token(ctx context.Context, t *wire.Token, emit func(uint32) error) error {
 	next, verdict := f.assembly.WithToken(answer.Token{
 		Attempt: t.GetAttempt(), Position: t.GetPosition(), ID: t.GetToken(), End: t.GetEnd(),
@@ -238,9 +238,9 @@
 	case answer.Dropped:
 		return nil
 	case answer.Missing:
-		return f.again(ctx, "a token is missing")
+		return f.retry(ctx, "a token is missing")
 	}
-	f.ran = true
+	f.mayHaveRun = true
 	first := len(f.assembly.Tokens) == 0
 	f.assembly = next
 	f.learn(first)
@@ -250,26 +250,26 @@
 	return nil
 }
 
-// troubled handles an attempt that cannot go on.
+// troubled handles the report that the attempt cannot go on.
 func (f *flight) troubled(ctx context.Context, t *wire.Trouble) error {
 	if t.GetAttempt() != f.assembly.Attempt {
 		return nil
 	}
 	if !refusedUnrun(t) {
-		f.ran = true
+		f.mayHaveRun = true
 	}
 	switch t.GetReason() {
 	case wire.Trouble_NEXT_LOST:
 		f.stageLost()
 		f.entry.suspect(t.GetEndpoint(), t.GetDetail())
 	case wire.Trouble_BUSY, wire.Trouble_LEAVING, wire.Trouble_INCARNATION, wire.Trouble_LAYERS, wire.Trouble_ENGINE:
-		f.shun(t.GetEndpoint())
+		f.avoidEndpoint(t.GetEndpoint())
 	}
-	return f.again(ctx, t.GetReason().String())
+	return f.retry(ctx, t.GetReason().String())
 }
 
-// refusedUnrun reports whether a trouble proves that no layer of the attempt
-// has run: the first stage refused it and has barred it.
+// refusedUnrun reports whether a trouble proves that no layer of the attempt has run: the first
+// stage refused the attempt and bars it permanently.
 func refusedUnrun(t *wire.Trouble) bool {
 	if t.GetStage() != 0 {
 		return false
@@ -281,82 +281,84 @@
 	return false
 }
 
-// shun keeps this flight from an endpoint.
-func (f *flight) shun(endpoint string) {
+// avoidEndpoint excludes an endpoint from the next chains of this flight.
+func (f *flight) avoidEndpoint(endpoint string) {
 	if f.avoid == nil {
 		f.avoid = make(map[string]bool)
 	}
 	f.avoid[endpoint] = true
 }
 
-// peerDown handles the loss of an agent's connection from here.
+// peerDown handles the end of the connection from this entry to an agent.
 func (f *flight) peerDown(ctx context.Context, address string) error {
-	if f.seat == nil || f.seat.stages[0].Endpoint.Address != address {
+	if f.reservation == nil || f.reservation.stages[0].Endpoint.Address != address {
 		return nil
 	}
-	f.ran = true
+	f.mayHaveRun = true
 	f.stageLost()
-	return f.again(ctx, "connection to the first stage broke")
+	return f.retry(ctx, "connection to the first stage broke")
 }
 
-// A request that ends the stages that begin to run it would end all that there are: it was read
-// again along another chain five times out of five. Three may be chance.
+// A request that crashes the stages that run it would crash every stage there is if it were retried
+// without a bound: such a request was retried along another chain 5 times out of 5. Three early
+// losses may still be a coincidence.
 const (
-	// soonLost is how long after the start of an attempt the loss of a stage may be its doing.
-	soonLost = time.Second
-	// mostLost is the number of such losses after which a request is given up.
-	mostLost = 3
+	// earlyLossPeriod is the time after the start of an attempt in which the loss of a stage may be
+	// caused by the request.
+	earlyLossPeriod = time.Second
+	// maxEarlyLosses is the number of early losses after which a request is given up.
+	maxEarlyLosses = 3
 )
 
-// stageLost notes that a stage of the attempt was lost.
+// stageLost records that a stage of the attempt was lost.
 func (f *flight) stageLost() {
-	if time.Since(f.begun) < soonLost {
-		f.lost++
+	if time.Since(f.attemptStart) < earlyLossPeriod {
+		f.earlyLosses++
 	}
 }
 
-// recoverPoll is how often a flight without a chain looks for one.
-const recoverPoll = 10 * time.Millisecond
+// recoverInterval is the time between two checks for a new chain.
+const recoverInterval = 10 * time.Millisecond
 
-// again raises the attempt and sends the request along another chain.
-func (f *flight) again(ctx context.Context, why string) error {
+// retry starts a new attempt along another chain. It waits for one for up to RecoverWait.
+func (f *flight) retry(ctx context.Context, why string) error {
 	if report := f.mayRetry(why); report != nil {
 		return report
 	}
 	f.entry.Meter.Rebuilt(why)
 	f.leave()
 	f.assembly = f.assembly.WithAttempt()
-	patience := time.After(f.entry.RecoverWait)
+	recoverTimeout := time.After(f.entry.RecoverWait)
 	for {
-		s, _ := f.entry.chain(f.request.Service, f.avoid, true)
+		s, _ := f.entry.reserveChain(f.request.Service, f.avoid, true)
 		if s == nil && len(f.avoid) > 0 {
 			f.avoid = nil
-			s, _ = f.entry.chain(f.request.Service, nil, true)
+			s, _ = f.entry.reserveChain(f.request.Service, nil, true)
 		}
 		if s != nil {
-			f.seat = s
+			f.reservation = s
 			f.dispatch(why)
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return f.giveUp(ctx)
-		case <-patience:
+		case <-recoverTimeout:
 			return f.report(outcome.NoChain, "no other chain after: "+why)
-		case <-time.After(recoverPoll):
+		case <-time.After(recoverInterval):
 		}
 	}
 }
 
-// retryAfter is when to come back after a request was given up.
+// retryAfter is the Retry-After delay for a request that was given up.
 const retryAfter = time.Second
 
-// mayRetry returns the final report when the request may not be tried again.
+// mayRetry returns the final report if the request must not be retried, otherwise nil.
 func (f *flight) mayRetry(why string) *outcome.Report {
-	if f.ran && (!f.decision.Repeatable || f.decision.Recovery == policy.Fail) {
+	if f.mayHaveRun && (!f.decision.Repeatable || f.decision.Recovery == policy.Fail) {
 		return f.report(outcome.StageLost, why)
 	}
-	if f.lost >= mostLost {
+	if f.earlyLosses >= maxEarlyLosses {
 		return f.report(outcome.StageLost, "stages were lost each time: "+why)
 	}
 	if !f.entry.mayRetry() {
@@ -365,12 +367,12 @@
 	return nil
 }
 
-// report returns the final report of a flight that ends here, as certain as
-// what is known allows.
+// report returns the final report of a flight that ends here. Its kind depends on whether the
+// request may have run and is repeatable.
 func (f *flight) report(code outcome.Code, detail string) *outcome.Report {
 	kind := outcome.Failed
 	switch {
-	case !f.ran:
+	case !f.mayHaveRun:
 		kind = outcome.NotRun
 	case !f.decision.Repeatable:
 		kind = outcome.Unknown
@@ -378,10 +380,11 @@
 	return &outcome.Report{Kind: kind, Code: code, Detail: detail, RetryAfter: retryAfter}
 }
 
-// giveUp ends a flight whose context has ended. The attempt under way may run.
+// giveUp returns the final report of a flight whose context has ended. The current attempt may
+// still run.
 func (f *flight) giveUp(ctx context.Context) error {
-	if f.seat != nil {
-		f.ran = true
+	if f.reservation != nil {
+		f.mayHaveRun = true
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return f.report(outcome.DeadlineOver, "the deadline has passed")
@@ -389,7 +392,7 @@
 	return f.report(outcome.CallerGone, "the caller has hung up")
 }
 
-// requestID returns the ID as callers see it.
+// requestID returns the ID in the form that callers see.
 func (f *flight) requestID() string {
 	return hex.EncodeToString(f.id[:])
 }
--- a/role/entry/flight_test.go
+++ b/role/entry/flight_test.go
@@ -19,8 +19,8 @@
 	"github.com/grademill/grademill/standin/toy"
 )
 
-// open starts a lab with one entry and two stages, and copies of each.
-func open(t *testing.T, copies int, adjust func(*entry.Entry)) *lab.Lab {
+// startLab starts a lab with one entry and the given number of copies of a chain of two stages.
+func startLab(t *testing.T, copies int, adjust func(*entry.Entry)) *lab.Lab {
 	l := &lab.Lab{
 		Entries: []lab.Host{{Name: "entry", Hall: "h"}}, Service: "m", Layers: 4,
 		Teams: map[string]float64{"t": 1}, Log: zerolog.Nop(), Adjust: adjust,
@@ -38,8 +38,8 @@
 	return l
 }
 
-// ask asks for n tokens and calls at after the second one.
-func ask(l *lab.Lab, n int, at func()) ([]uint32, error) {
+// requestTokens requests n tokens, and calls at after the second one.
+func requestTokens(l *lab.Lab, n int, at func()) ([]uint32, error) {
 	var tokens []uint32
 	_, err := l.Entry(0).Complete(context.Background(), router.Completion{
 		Team: "t", Service: "m", Prompt: toy.Tokens("hello"), MaxTokens: n,
@@ -56,8 +56,8 @@
 func TestAnswerGoesOnAlongAnotherChain(t *testing.T) {
 	for _, stage := range []string{"a", "b"} {
 		t.Run(stage, func(t *testing.T) {
-			l := open(t, 2, nil)
-			tokens, err := ask(l, 20, func() {
+			l := startLab(t, 2, nil)
+			tokens, err := requestTokens(l, 20, func() {
 				l.Kill(stage + "0")
 			})
 			require.NoError(t, err)
@@ -66,27 +66,27 @@
 	}
 }
 
-// A request that has lost its chain for good is given up with when to come back,
-// as failed: layers have run.
-func TestNoOtherChain(t *testing.T) {
-	l := open(t, 1, func(e *entry.Entry) { e.RecoverWait = time.Millisecond })
-	_, err := ask(l, 500, func() { l.Kill("b0") })
+// A request that has lost its chain and finds no other one ends with a Retry-After delay, as failed
+// since layers have run.
+func TestRequestWithoutAnotherChainFails(t *testing.T) {
+	l := startLab(t, 1, func(e *entry.Entry) { e.RecoverWait = time.Millisecond })
+	_, err := requestTokens(l, 500, func() { l.Kill("b0") })
 	report, ok := outcome.Of(err)
 	require.True(t, ok)
 	require.Equal(t, outcome.Failed, report.Kind)
 	require.Equal(t, outcome.NoChain, report.Code)
 	require.Positive(t, report.RetryAfter)
-	_, err = ask(l, 1, nil)
+	_, err = requestTokens(l, 1, nil)
 	report, _ = outcome.Of(err)
-	require.Equal(t, outcome.NotRun, report.Kind, "a new request is refused: no chain")
+	require.Equal(t, outcome.NotRun, report.Kind, "new request without a chain")
 	require.Positive(t, report.RetryAfter)
 }
 
-// Without any budget for second tries a request that lost a stage is given up at
-// once, though another chain is there.
-func TestRetryBudgetBoundsSecondTries(t *testing.T) {
-	l := open(t, 2, func(e *entry.Entry) { e.Retries.Reserve, e.Retries.Share = 0, 0 })
-	_, err := ask(l, 500, func() {
+// Without a retry budget, a request that lost a stage is given up at once, although another chain
+// is available.
+func TestRetryBudgetBoundsRetries(t *testing.T) {
+	l := startLab(t, 2, func(e *entry.Entry) { e.Retries.Reserve, e.Retries.Share = 0, 0 })
+	_, err := requestTokens(l, 500, func() {
 		l.Kill("b0")
 		l.Kill("b1")
 	})
@@ -96,9 +96,9 @@
 	require.Equal(t, outcome.RetryExceeded, report.Code)
 }
 
-// Callers that hang up release their sessions.
-func TestHungUpCallersReleaseTheirSeats(t *testing.T) {
-	l := open(t, 1, nil)
+// When callers hang up, their reservations are released.
+func TestHungUpCallersReleaseTheirReservations(t *testing.T) {
+	l := startLab(t, 1, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	for range 8 {
@@ -108,7 +108,7 @@
 			}, func(uint32) error { return nil })
 			report, _ := outcome.Of(err)
 			if report == nil || report.Kind == outcome.Done {
-				t.Error("a request that was hung up ended well")
+				t.Error("request ended as done although its caller hung up")
 			}
 		})
 	}
@@ -117,15 +117,15 @@
 	for _, c := range l.Entry(0).Snapshot().Models["m"].Candidates {
 		require.Zero(t, c.Usage.Own.Load(), c.Endpoint.Name)
 	}
-	_, err := ask(l, 3, nil)
+	_, err := requestTokens(l, 3, nil)
 	require.NoError(t, err)
 }
 
-// A request that ends each stage that begins to run it is given up after three: it was read
-// again along another chain for as long as there was one, and ended them all.
-func TestRequestThatEndsItsStagesIsGivenUp(t *testing.T) {
+// A request that crashes each stage that runs it is given up after three crashes. Otherwise it
+// would be retried along other chains until it had crashed all of them.
+func TestRequestThatCrashesItsStagesIsGivenUp(t *testing.T) {
 	const copies = 5
-	l := open(t, copies, nil)
+	l := startLab(t, copies, nil)
 	done := make(chan struct{})
 	var killed atomic.Int32
 	var group sync.WaitGroup
@@ -146,7 +146,7 @@
 			}
 		}
 	})
-	_, err := ask(l, 10_000, nil)
+	_, err := requestTokens(l, 10_000, nil)
 	close(done)
 	group.Wait()
 	report, ok := outcome.Of(err)
@@ -154,6 +154,6 @@
 	require.Equal(t, outcome.Failed, report.Kind)
 	require.Equal(t, outcome.StageLost, report.Code)
 	require.EqualValues(t, 3, killed.Load())
-	_, err = ask(l, 3, nil)
-	require.NoError(t, err, "others are served")
+	_, err = requestTokens(l, 3, nil)
+	require.NoError(t, err, "other requests must still be served")
 }
--- a/role/entry/follow.go
+++ b/role/entry/follow.go
@@ -12,7 +12,7 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// answerSync answers a peer what it has missed.
+// answerSync answers a peer with the changes that it has missed.
 func (e *Entry) answerSync(_ context.Context, r *wire.SyncRequest) (*wire.SyncReply, error) {
 	e.mu.Lock()
 	if self := r.GetSelf(); self.GetAddress() != "" {
@@ -28,12 +28,12 @@
 	return reply, err
 }
 
-// follow asks one peer after another for what was missed, so that everyone
-// converges whoever watches the platform, and during its outages.
-func (e *Entry) follow(ctx context.Context) {
+// syncPeers requests missed changes from one peer after another, so that all entries converge no
+// matter which of them watch the platform, and also during its outages.
+func (e *Entry) syncPeers(ctx context.Context) {
 	for {
-		for _, address := range e.askNext() {
-			e.ask(ctx, address)
+		for _, address := range e.syncTargets() {
+			e.syncWith(ctx, address)
 		}
 		pause := e.Sync/2 + rand.N(e.Sync)
 		select {
@@ -44,9 +44,9 @@
 	}
 }
 
-// askNext returns the peers to ask this time: a watcher of the own hall or
-// anyone, by chance. Until the configuration is known it is all peers known.
-func (e *Entry) askNext() []string {
+// syncTargets returns the peers to request changes from next: at random either a watcher of the own
+// hall or any peer. Until the configuration is known, it returns all known peers.
+func (e *Entry) syncTargets() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var near, all []string
@@ -71,8 +71,8 @@
 	return []string{all[rand.IntN(len(all))]}
 }
 
-// ask asks one peer for changes.
-func (e *Entry) ask(ctx context.Context, address string) {
+// syncWith requests changes from one peer.
+func (e *Entry) syncWith(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, e.Sync+time.Second)
 	defer cancel()
 	reply := new(wire.SyncReply)
@@ -83,7 +83,7 @@
 	}
 	e.mu.Unlock()
 	if err := e.client.Call(ctx, address, "sync", request, reply); err != nil {
-		e.Log.Debug().Err(err).Str("peer", address).Msg("peer gave no changes")
+		e.Log.Debug().Err(err).Str("peer", address).Msg("peer sync failed")
 		return
 	}
 	e.mu.Lock()
@@ -92,15 +92,15 @@
 	}
 	e.mu.Unlock()
 	if err := e.config.Take(reply); err != nil {
-		e.Log.Error().Err(err).Str("peer", address).Msg("changes of a peer not taken")
+		e.Log.Error().Err(err).Str("peer", address).Msg("changes from peer not applied")
 	}
 }
 
-// watchKey ranks the entries of a hall for the duty to watch.
+// watchKey ranks the entries of a hall to select its watchers.
 const watchKey = "watch"
 
-// watches reports whether this entry is one of those that watch the platform.
-func (e *Entry) watches() bool {
+// isWatcher reports whether this entry is one of those that watch the platform.
+func (e *Entry) isWatcher() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var near []string
@@ -113,10 +113,10 @@
 		slices.Contains(rendezvous.Top(watchKey, near, e.Watchers), e.Address)
 }
 
-// watch watches the platform while it is this entry's duty.
+// watch watches the platform while this entry is a watcher.
 func (e *Entry) watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		if e.watches() {
+		if e.isWatcher() {
 			e.watchWhile(ctx)
 		}
 		select {
@@ -126,30 +126,30 @@
 	}
 }
 
-// watchWhile watches until the duty is another's.
+// watchWhile watches until this entry is no longer a watcher.
 func (e *Entry) watchWhile(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		for ctx.Err() == nil && e.watches() {
+		for ctx.Err() == nil && e.isWatcher() {
 			time.Sleep(e.Sync)
 		}
 		cancel()
 	}()
 	e.changes.Watch(ctx, func(err error) {
-		e.Log.Warn().Err(err).Msg("platform gives no changes")
+		e.Log.Warn().Err(err).Msg("platform watch failed")
 	})
 }
 
-// list reads the platform's list of hosts from time to time. What it last said
-// stays in use while it does not answer.
+// list reads the platform's list of hosts periodically. The last list stays in use while the
+// platform does not answer.
 func (e *Entry) list(ctx context.Context) {
 	for {
 		list, err := e.Hosts.Hosts(ctx)
 		if err != nil {
-			e.Log.Warn().Err(err).Msg("platform gives no list of hosts")
+			e.Log.Warn().Err(err).Msg("list of hosts not read from platform")
 		} else {
-			e.listed(list)
+			e.recordHosts(list)
 		}
 		select {
 		case <-ctx.Done():
@@ -159,8 +159,8 @@
 	}
 }
 
-// listed takes in the list of hosts.
-func (e *Entry) listed(list []hosts.Host) {
+// recordHosts handles a new list of hosts.
+func (e *Entry) recordHosts(list []hosts.Host) {
 	var peers []*wire.Peer
 	leaving := make(map[string]bool)
 	for _, h := range list {
--- a/role/entry/lead.go
+++ b/role/entry/lead.go
@@ -16,12 +16,12 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// orderKey is the key whose holder gives orders. Its revision in the store is
-// the term: it rises with each new holder, and agents and engines refuse lower
-// ones, so a holder that was paused does no harm.
+// orderKey is the key in the store whose holder gives orders. Its revision is the term, which
+// increases with each new holder. Agents and engines refuse lower terms, so a holder that resumes
+// after a pause does no harm.
 const orderKey = "orders/holder"
 
-// orderCandidates is the number of entries that try to hold the key.
+// orderCandidates is the number of entries that compete for the key.
 const orderCandidates = 3
 
 // lead gives orders while this entry holds the key.
@@ -39,7 +39,7 @@
 	}
 }
 
-// mayLead reports whether this entry is among those that try.
+// mayLead reports whether this entry is among the candidates for the key.
 func (e *Entry) mayLead() bool {
 	if e.draining.Load() || e.config.Revision() == 0 {
 		return false
@@ -68,10 +68,10 @@
 	return lease, term, err
 }
 
-// heldError is a key that another entry holds, or that cannot be read.
+// heldError reports that another entry holds the key, or that the key cannot be read.
 type heldError struct{}
 
-// Error says so.
+// Error returns a fixed message.
 func (*heldError) Error() string {
 	return "another entry gives orders"
 }
@@ -94,7 +94,7 @@
 	}
 }
 
-// plan gives one round of orders.
+// plan plans and gives one round of orders.
 func (e *Entry) plan(ctx context.Context, term uint64) {
 	snapshot := e.snapshot.Load()
 	current := e.config.Current()
@@ -114,7 +114,7 @@
 	}
 }
 
-// models returns the models that may be placed, with what holds them now.
+// models returns the models that may be placed, with the layers that endpoints hold now.
 func (e *Entry) models() []place.Model {
 	snapshot := e.snapshot.Load()
 	var models []place.Model
@@ -133,7 +133,7 @@
 	return models
 }
 
-// order gives one order.
+// order sends one order to an endpoint.
 func (e *Entry) order(ctx context.Context, term uint64, to fleet.Endpoint, o place.Order) {
 	reply := new(wire.OrderReply)
 	err := e.client.Call(ctx, to.Address, "order", &wire.Order{
--- a/role/entry/seat.go
+++ b/role/entry/seat.go
@@ -6,28 +6,28 @@
 	"github.com/grademill/grademill/role/gate"
 )
 
-// seat is the room that a request holds: a chain, or one endpoint of a plain
+// reservation is the capacity that a request holds at a chain, or at one endpoint of a plain
 // service.
-type seat struct {
+type reservation struct {
 	stages []route.Candidate
 	choice route.Choice
-	// runnerUp is the end of the second best chain, empty for none.
+	// runnerUp is the last endpoint of the second best chain, empty if there is none.
 	runnerUp string
 	released bool
-	// flowing is whether a token has come along the chain.
-	flowing bool
+	// receiving is set once a token has arrived along the chain.
+	receiving bool
 }
 
-// newSeat takes room at the candidates.
-func newSeat(stages []route.Candidate) *seat {
+// newReservation reserves capacity at the candidates.
+func newReservation(stages []route.Candidate) *reservation {
 	for _, c := range stages {
 		c.Usage.Own.Add(1)
 	}
-	return &seat{stages: stages}
+	return &reservation{stages: stages}
 }
 
-// release gives the room back; it may be called again.
-func (s *seat) release() {
+// release releases the capacity. Further calls have no effect.
+func (s *reservation) release() {
 	if s.released {
 		return
 	}
@@ -37,8 +37,8 @@
 	}
 }
 
-// names returns the endpoints of the seat, in order.
-func (s *seat) names() []string {
+// names returns the names of the reserved endpoints, in the order of the chain.
+func (s *reservation) names() []string {
 	names := make([]string, len(s.stages))
 	for i, c := range s.stages {
 		names[i] = c.Endpoint.Name
@@ -46,9 +46,9 @@
 	return names
 }
 
-// chain takes room along the cheapest chain of a service. Unless force is set
-// it takes none where a stage is full.
-func (e *Entry) chain(service string, avoid map[string]bool, force bool) (*seat, gate.Answer) {
+// reserveChain reserves the cheapest chain of a service. Unless force is set, it reserves
+// none if a stage is full.
+func (e *Entry) reserveChain(service string, avoid map[string]bool, force bool) (*reservation, gate.Answer) {
 	table := e.snapshot.Load().Models[service]
 	if table == nil {
 		return nil, gate.Never
@@ -64,7 +64,7 @@
 	for i := range stages {
 		stages[i] = table.Candidates[choice.Stages[i]]
 	}
-	s := newSeat(stages)
+	s := newReservation(stages)
 	s.choice = choice
 	if choice.RunnerUp >= 0 {
 		s.runnerUp = table.Candidates[choice.RunnerUp].Endpoint.Name
@@ -83,8 +83,8 @@
 	return table.Choose(seed, func(c *fleet.Endpoint) bool { return avoid[c.Name] })
 }
 
-// endpoint takes room at the least loaded endpoint of a plain service.
-func (e *Entry) endpoint(service string, avoid map[string]bool) (*seat, gate.Answer) {
+// reserveEndpoint reserves the least loaded endpoint of a plain service.
+func (e *Entry) reserveEndpoint(service string, avoid map[string]bool) (*reservation, gate.Answer) {
 	best := -1
 	candidates := e.snapshot.Load().Plain[service]
 	least := 0.0
@@ -103,5 +103,5 @@
 	if least >= 1 {
 		return nil, gate.Full
 	}
-	return newSeat([]route.Candidate{candidates[best]}), gate.Granted
+	return newReservation([]route.Candidate{candidates[best]}), gate.Granted
 }
--- a/role/entry/stall.go
+++ b/role/entry/stall.go
@@ -11,8 +11,8 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// patience returns how long the flight may make no progress.
-func (f *flight) patience() time.Duration {
+// stallTimeout returns how long the flight may make no progress.
+func (f *flight) stallTimeout() time.Duration {
 	f.entry.mu.Lock()
 	defer f.entry.mu.Unlock()
 	learned := f.entry.learnedStalls(f.request.Service)
@@ -22,13 +22,13 @@
 	return learned.between.Value()
 }
 
-// awaitsFirst reports whether the attempt has not given a token yet: it may be
-// reading a long text.
+// awaitsFirst reports whether the attempt has not produced a token yet: it may still be processing
+// a long prompt.
 func (f *flight) awaitsFirst() bool {
-	return f.seat == nil || !f.seat.flowing
+	return f.reservation == nil || !f.reservation.receiving
 }
 
-// learnedStalls returns the learned times of a service; e.mu is held.
+// learnedStalls returns the learned stall timeouts of a service; e.mu is held.
 func (e *Entry) learnedStalls(service string) stalls {
 	learned, ok := e.stalls[service]
 	if !ok {
@@ -38,11 +38,11 @@
 	return learned
 }
 
-// learn takes in the time that the token which has come took.
+// learn records the arrival of a token and the time since the last progress.
 func (f *flight) learn(first bool) {
 	now := time.Now()
-	took := now.Sub(f.moved)
-	f.moved = now
+	took := now.Sub(f.lastProgress)
+	f.lastProgress = now
 	f.entry.Meter.Token(f.request.Team, f.request.Service, first, took)
 	f.entry.mu.Lock()
 	defer f.entry.mu.Unlock()
@@ -53,45 +53,44 @@
 		learned.between = learned.between.WithSample(took)
 	}
 	f.entry.stalls[f.request.Service] = learned
-	f.seat.flowing = true
+	f.reservation.receiving = true
 }
 
 // probeTimeout is how long an agent may take to answer a probe.
 const probeTimeout = 250 * time.Millisecond
 
-// confirmAfter is the time between two rounds of probes.
-const confirmAfter = 50 * time.Millisecond
+// confirmDelay is the time between two rounds of probes.
+const confirmDelay = 50 * time.Millisecond
 
-// stalled finds out why no token has come. A chain that is merely slow gets more
-// time.
+// stalled finds out why no token has arrived. A chain that is only slow gets more time.
 func (f *flight) stalled(ctx context.Context) error {
 	former, silent := f.probe(ctx)
 	if silent >= 0 {
-		f.ran = true
-		f.entry.suspect(f.seat.stages[silent].Endpoint.Name, "does not answer a probe")
-		return f.again(ctx, "a stage does not answer")
+		f.mayHaveRun = true
+		f.entry.suspect(f.reservation.stages[silent].Endpoint.Name, "does not answer a probe")
+		return f.retry(ctx, "a stage does not answer")
 	}
-	time.Sleep(confirmAfter)
+	time.Sleep(confirmDelay)
 	latest, silent := f.probe(ctx)
 	culprit, lost := progress.Lost(former, latest)
 	if !lost || silent >= 0 {
-		f.moved = time.Now()
+		f.lastProgress = time.Now()
 		return nil
 	}
-	f.ran = true
-	f.shun(f.seat.stages[culprit].Endpoint.Name)
-	return f.again(ctx, "a step was lost")
+	f.mayHaveRun = true
+	f.avoidEndpoint(f.reservation.stages[culprit].Endpoint.Name)
+	return f.retry(ctx, "a step was lost")
 }
 
-// probe asks all stages how far they are. It returns the first stage that gave
-// no answer, or -1.
+// probe requests the progress of all stages. It returns their reports and the index of the first
+// stage that did not answer, or -1.
 func (f *flight) probe(ctx context.Context) (reports []progress.Report, silent int) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	reports = make([]progress.Report, len(f.seat.stages))
-	failed := make([]bool, len(f.seat.stages))
+	reports = make([]progress.Report, len(f.reservation.stages))
+	failed := make([]bool, len(f.reservation.stages))
 	var group sync.WaitGroup
-	for i, stage := range f.seat.stages {
+	for i, stage := range f.reservation.stages {
 		group.Go(func() {
 			reply := new(wire.ProbeReply)
 			request := &wire.Probe{Request: f.id[:], Attempt: f.assembly.Attempt}
