--- a/role/gate/gate_test.go
+++ b/role/gate/gate_test.go
@@ -73,14 +73,14 @@
 
 // A refused request gets its final answer at once, with a Retry-After delay, and not at its
 // deadline.
-func TestRefusalsComeAtOnce(t *testing.T) {
+func TestRefusalsAreImmediate(t *testing.T) {
 	cases := map[string]struct {
 		queue int
 		never bool
 		code  outcome.Code
 	}{
 		"no room and no queue": {0, false, outcome.Overloaded},
-		"waiting is no use":    {10, true, outcome.NoChain},
+		"waiting cannot help":  {10, true, outcome.NoChain},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
