--- a/state/runonce/runner.go
+++ b/state/runonce/runner.go
@@ -1,11 +1,12 @@
-// Package runonce runs a call at most once, whatever entries and agents are
-// killed or frozen and whichever answers are lost on the way.
+// Package runonce runs a call at most once, even when entries or agents are
+// killed or frozen and answers are lost.
 //
-// The right to run a call is a claim for one incarnation of one agent, made in
-// the platform's store under compare-and-swap. The agent runs a key once, and
-// bars a claim for good when it is asked what became of it before it started.
-// So a claim can be replaced only with its agent's word that it has not run and
-// never will; without that word the call is in doubt and is not tried again.
+// A claim, written to the store under compare-and-swap, gives one incarnation of
+// one agent the right to run the call. The agent runs each idempotency key once.
+// When it is asked about a claim that has not started, it bars that claim for
+// good. A claim is therefore replaced only after its agent has confirmed that the
+// call has not run and never will. Without that confirmation the outcome is
+// uncertain, and the call is not retried.
 package runonce
 
 import (
@@ -25,25 +26,27 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// Claimer makes claims.
+// Claimer writes claims to the store.
 type Claimer interface {
-	// Claim returns nil once the claim stands, and the errors of claimlog.Log
-	// otherwise.
+	// Claim returns nil once the claim is in force, and otherwise the errors of
+	// claimlog.Log.Claim.
 	Claim(c claim.Claim) error
 }
 
-// Agents reaches the agents beside the endpoints.
+// Agents sends calls to the agents that run beside the endpoints.
 type Agents interface {
-	// Send sends the call under a claim. A call that was not sent at all gives a
-	// NOT_RUN reply; an error means that it may have run.
+	// Send sends the call under a claim. It replies NOT_RUN if nothing was sent; an
+	// error means that the call may have run.
 	Send(ctx context.Context, at fleet.Endpoint, c claim.Claim, why string) (*wire.CallReply, error)
-	// Settle asks what became of a claim, and bars it when it has not started.
+	// Settle asks the agent for the outcome of a claim. An agent that has not
+	// started the call bars the claim.
 	Settle(ctx context.Context, c claim.Claim) (*wire.CallReply, error)
 }
 
-// Seats gives room at endpoints.
+// Seats makes reservations at endpoints.
 type Seats interface {
-	// Enter waits for room at an endpoint that is not one of avoid.
+	// Enter waits for a reservation at an endpoint that is not in avoid. The caller
+	// ends the reservation with leave.
 	Enter(ctx context.Context, avoid map[string]bool) (at fleet.Endpoint, leave func(), report *outcome.Report)
 }
 
@@ -52,44 +55,45 @@
 	Claims Claimer
 	Agents Agents
 	Seats  Seats
-	// MayRetry reports whether one more try may be made, and counts it.
+	// MayRetry takes one retry from the budget and reports whether there was one.
 	MayRetry func() bool
-	// Key and Digest are the hashes of the key and of the request.
+	// Key is the hash of the idempotency key, Digest that of the request.
 	Key, Digest string
-	// Shared is whether anyone else may ask for the same key: only then a claim
-	// is made in the store.
+	// Shared is set when another entry may run the same key. Only then is a claim
+	// written to the store.
 	Shared bool
 
 	avoid map[string]bool
-	// duels counts how often another claim held the key.
-	duels int
-	// sent is set when the last attempt sent the call: only another send after it is a
-	// retry.
+	// conflicts counts the claims that failed because another claim held the key.
+	conflicts int
+	// sent is set when the last attempt sent the call. Only an attempt that follows
+	// a send counts as a retry.
 	sent bool
 }
 
-// The pause before another's claim is settled. It doubles each time, so that it gets
-// longer than a busy host takes to start a call, and a part of its length is drawn, so
-// that two entries that ask for the same key at the same moment do not bar each other's
-// claims for ever.
+// The pause before the claim of another entry is settled. It doubles with each
+// conflict until it exceeds the time that a busy host needs to start a call. Half of
+// it is random, so that two entries that run the same key at the same time do not bar
+// each other's claims for ever.
 const (
-	firstPause = 25 * time.Millisecond
-	maxDoubles = 5
+	firstPause   = 25 * time.Millisecond
+	maxDoublings = 5
 )
 
-// duelPause returns the pause before another's claim is settled, after so many duels.
-func duelPause(duels int) time.Duration {
-	most := firstPause << min(duels, maxDoubles)
-	return most/2 + rand.N(most/2)
+// conflictPause returns the pause before the claim of another entry is settled, after
+// the given number of conflicts.
+func conflictPause(conflicts int) time.Duration {
+	longest := firstPause << min(conflicts, maxDoublings)
+	return longest/2 + rand.N(longest/2)
 }
 
-// SettleTimeout bounds the question what became of a call.
+// SettleTimeout bounds a call of Agents.Settle.
 const SettleTimeout = 500 * time.Millisecond
 
-// retryAfter is when to come back after a call was given up.
+// retryAfter is the Retry-After delay in reports of abandoned calls.
 const retryAfter = time.Second
 
-// Run runs the call and returns its DONE reply, or the final report.
+// Run runs the call and returns either its DONE reply or the report of its failure.
 func (r *Runner) Run(ctx context.Context) (*wire.CallReply, *outcome.Report) {
 	r.avoid = make(map[string]bool)
 	former := ""
@@ -98,7 +102,7 @@
 		if report != nil {
 			return nil, report
 		}
-		reply, unrun, report := r.attempt(ctx, at, former, why)
+		reply, notRunID, report := r.attempt(ctx, at, former, why)
 		leave()
 		if report != nil {
 			return nil, report
@@ -106,7 +110,7 @@
 		if reply.GetOutcome() == wire.CallReply_DONE {
 			return reply, nil
 		}
-		former, why = unrun, reply.GetDetail()
+		former, why = notRunID, reply.GetDetail()
 		if ctx.Err() != nil {
 			return nil, outcome.Refuse(outcome.DeadlineOver, ctx.Err().Error(), retryAfter)
 		}
@@ -116,9 +120,9 @@
 	}
 }
 
-// attempt claims the key for one endpoint and sends the call there. It returns
-// a reply that is DONE, or NOT_RUN with the claim that did not run, or the
-// final report.
+// attempt claims the key for one endpoint and sends the call there. It returns a
+// DONE reply, a NOT_RUN reply with the ID of the claim that did not run, or the
+// report that ends the call.
 func (r *Runner) attempt(ctx context.Context, at fleet.Endpoint, former, why string) (*wire.CallReply, string, *outcome.Report) {
 	c := claim.Claim{
 		ID: uuid.NewString(), Key: r.Key, Digest: r.Digest, Former: former,
@@ -138,11 +142,11 @@
 	if reply.GetOutcome() == wire.CallReply_NOT_RUN {
 		r.avoid[at.Name] = true
 	}
-	return sort(reply, c)
+	return attemptResult(reply, c)
 }
 
-// sort turns the reply to a claim into the result of an attempt.
-func sort(reply *wire.CallReply, c claim.Claim) (*wire.CallReply, string, *outcome.Report) {
+// attemptResult converts the reply for a claim into the results of attempt.
+func attemptResult(reply *wire.CallReply, c claim.Claim) (*wire.CallReply, string, *outcome.Report) {
 	switch reply.GetOutcome() {
 	case wire.CallReply_DONE:
 		return reply, "", nil
@@ -154,8 +158,8 @@
 	}
 }
 
-// settle asks the only agent that may have run a claim what became of it.
-// Silence is no proof: it leaves the call in doubt.
+// settle asks the only agent that may have run a claim for its outcome. Without an
+// answer the outcome is UNKNOWN, since the agent may have run the call.
 func (r *Runner) settle(c claim.Claim) *wire.CallReply {
 	ctx, cancel := context.WithTimeout(context.Background(), SettleTimeout)
 	defer cancel()
@@ -166,34 +170,35 @@
 	return reply
 }
 
-// notClaimed handles a claim that was not made. When another claim holds the
-// key, its fate is the call's; one that did not run may be replaced.
+// notClaimed handles a failed claim. If another claim holds the key, its outcome is
+// that of the call; a claim that did not run may be replaced.
 func (r *Runner) notClaimed(ctx context.Context, err error) (*wire.CallReply, string, *outcome.Report) {
 	var taken *claimlog.TakenError
 	var full *claimlog.FullError
-	var doubt *headlog.InDoubtError
+	var uncertain *headlog.InDoubtError
 	switch {
 	case errors.As(err, &taken):
 		return r.taken(ctx, taken.Holder)
 	case errors.As(err, &full):
 		return nil, "", outcome.Refuse(outcome.Overloaded, full.Error(), full.After)
-	case errors.As(err, &doubt):
-		// The claim may stand, but it was never used: nothing has run.
-		return nil, "", outcome.Refuse(outcome.Platform, doubt.Error(), retryAfter)
+	case errors.As(err, &uncertain):
+		// The claim may be in force, but no call was sent under it, so nothing has run.
+		return nil, "", outcome.Refuse(outcome.Platform, uncertain.Error(), retryAfter)
 	}
 	return nil, "", outcome.Refuse(outcome.Platform, trace.UserMessage(err), retryAfter)
 }
 
-// taken settles a key that another claim holds, after giving its holder time.
+// taken settles the claim that holds the key, after a pause in which its agent can
+// start the call.
 func (r *Runner) taken(ctx context.Context, holder claim.Claim) (*wire.CallReply, string, *outcome.Report) {
 	if holder.Digest != r.Digest {
 		return nil, "", outcome.Refuse(outcome.Conflict, "the idempotency key was used for another request", 0)
 	}
-	pause := duelPause(r.duels)
-	r.duels++
+	pause := conflictPause(r.conflicts)
+	r.conflicts++
 	select {
 	case <-ctx.Done():
 	case <-time.After(pause):
 	}
-	return sort(r.settle(holder), holder)
+	return attemptResult(r.settle(holder), holder)
 }
--- a/state/runonce/runner_test.go
+++ b/state/runonce/runner_test.go
@@ -17,10 +17,11 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// rival holds the key for the first claims, each of which turns out not to have run.
+// rival is a store and agent in which another claim holds the key for the first
+// claims attempts. No call of that other claim has run.
 type rival struct {
 	claims int
-	// sends are the times of the calls, settles those of the questions.
+	// sends counts the calls sent; settles holds the times of the Settle calls.
 	sends   int
 	settles []time.Time
 }
@@ -46,30 +47,31 @@
 	return fleet.Endpoint{Name: "a"}, func() {}, nil
 }
 
-// An entry whose key another one claims again and again has sent nothing: it needs no
-// part of the retry budget to go on, and leaves its rival more and more time to start.
-func TestDuelsAreNoRetries(t *testing.T) {
+// An entry that repeatedly finds its key claimed by another entry has sent nothing. It
+// must go on without using the retry budget, and pause longer each time so that the
+// other call can start.
+func TestClaimConflictsUseNoRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &rival{claims: 6}
 		runner := runonce.Runner{
 			Claims: r, Agents: r, Seats: r, MayRetry: func() bool { return false }, Key: "k", Shared: true,
 		}
-		begun := time.Now()
+		previous := time.Now()
 		reply, report := runner.Run(context.Background())
 		require.Nil(t, report)
 		require.Equal(t, wire.CallReply_DONE, reply.GetOutcome())
 		require.Equal(t, 1, r.sends)
 		require.Len(t, r.settles, 6)
 		for i, at := range r.settles {
-			least := 12500 * time.Microsecond << min(i, 5)
-			require.GreaterOrEqual(t, at.Sub(begun), least)
-			begun = at
+			minPause := 12500 * time.Microsecond << min(i, 5)
+			require.GreaterOrEqual(t, at.Sub(previous), minPause)
+			previous = at
 		}
 	})
 }
 
-// A call that was sent and refused needs a part of the budget to be sent again.
-func TestSecondSendIsARetry(t *testing.T) {
+// A call that was sent and refused takes a retry from the budget to be sent again.
+func TestSecondSendUsesRetryBudget(t *testing.T) {
 	r := &refusing{rival: &rival{}}
 	runner := runonce.Runner{
 		Claims: r, Agents: r, Seats: r, MayRetry: func() bool { return false }, Key: "k", Shared: true,
@@ -79,7 +81,7 @@
 	require.Equal(t, 1, r.sends)
 }
 
-// refusing refuses all calls as not run.
+// refusing is a rival whose agents reply NOT_RUN to all calls.
 type refusing struct{ *rival }
 
 func (r *refusing) Send(ctx context.Context, at fleet.Endpoint, c claim.Claim, why string) (*wire.CallReply, error) {
