--- a/state/claimlog/log.go
+++ b/state/claimlog/log.go
@@ -1,5 +1,6 @@
-// Package claimlog keeps claims in the platform's key-value service, in a few
-// logs by the hash of the key. Claims that come together share a write.
+// Package claimlog stores claims to run a call in the platform's key-value service.
+// Claims are spread over a fixed number of logs by the hash of their key, and
+// concurrent claims of one log share a write.
 package claimlog
 
 import (
@@ -18,51 +19,52 @@
 	"github.com/grademill/grademill/state/headlog"
 )
 
-// buckets is the number of logs. It is part of the layout of the store: all
-// processes must agree on it.
+// buckets is the number of logs. It is part of the store's layout, so all processes
+// must use the same number.
 const buckets = 16
 
-// maxClaims bounds the claims of a log, so that its value stays below 1 MB. A
-// claim is never forgotten early to make room.
+// maxClaims bounds the claims of a log, so that its value stays below 1 MB. A full
+// log refuses new claims rather than drop one before its retention period ends.
 const maxClaims = 3500
 
-// TakenError is a key that another claim holds.
+// TakenError reports that another claim holds the key.
 type TakenError struct {
 	// Holder is the claim in force.
 	Holder claim.Claim
 }
 
-// Error names the holder.
+// Error returns the ID and the endpoint of the holder.
 func (e *TakenError) Error() string {
 	return fmt.Sprintf("key is claimed by %s at %s", e.Holder.ID, e.Holder.Endpoint)
 }
 
-// FullError is a log that cannot take more claims until some are old enough to
-// be forgotten. The claim was not made.
+// FullError reports that a log takes no more claims until some have expired. The
+// claim was not written.
 type FullError struct {
-	// After is when the oldest claim may be forgotten.
+	// After is the time until the oldest claim expires.
 	After time.Duration
 }
 
-// Error says when to come back.
+// Error returns the time until the oldest claim expires.
 func (e *FullError) Error() string {
 	return fmt.Sprintf("too many claims are remembered, the oldest for another %s", e.After)
 }
 
-// Log makes claims. Set the exported fields before the first use.
+// Log writes claims to the store. Set the exported fields before the first use. Claim
+// is safe for concurrent use.
 type Log struct {
 	// Store is the key-value service.
 	Store kv.Store
-	// Keep is how long a claim is remembered.
+	// Keep is the retention period of a claim.
 	Keep time.Duration
-	// Gather is how long a write waits for more claims to share it.
+	// Gather is how long a write waits for further claims to share it.
 	Gather time.Duration
-	// Timeout bounds the wait for the store.
+	// Timeout bounds each write to the store, with its retries.
 	Timeout time.Duration
 
 	mu      sync.Mutex
 	waiting [buckets][]*waiter
-	busy    [buckets]bool
+	writing [buckets]bool
 }
 
 type waiter struct {
@@ -70,49 +72,48 @@
 	done  chan error
 }
 
-// Claim makes c and returns nil once it is in the store. It returns a
-// TakenError when another claim holds the key, a FullError or a
-// kv.UnavailableError when nothing was written, and a headlog.InDoubtError when
-// the claim may have been made: then it is not used, and whoever asks next
-// settles it with the agent.
+// Claim returns nil once c is in the store. It returns a TakenError if another claim
+// holds the key, a FullError or a kv.UnavailableError if nothing was written, and a
+// headlog.InDoubtError if c may have been written. In that last case the caller must
+// not use c; the next caller with the same key settles it with the agent.
 func (l *Log) Claim(c claim.Claim) error {
 	bucket := int(xxhash.Sum64String(c.Key) % buckets)
 	w := &waiter{claim: c, done: make(chan error, 1)}
 	l.mu.Lock()
 	l.waiting[bucket] = append(l.waiting[bucket], w)
-	if !l.busy[bucket] {
-		l.busy[bucket] = true
+	if !l.writing[bucket] {
+		l.writing[bucket] = true
 		go l.write(bucket)
 	}
 	l.mu.Unlock()
 	return <-w.done
 }
 
-// write carries the bucket's claims to the store until none wait.
+// write writes the bucket's waiting claims to the store until none are left.
 func (l *Log) write(bucket int) {
 	for {
 		time.Sleep(l.Gather)
 		l.mu.Lock()
-		group := l.waiting[bucket]
+		batch := l.waiting[bucket]
 		l.waiting[bucket] = nil
-		l.busy[bucket] = len(group) > 0
+		l.writing[bucket] = len(batch) > 0
 		l.mu.Unlock()
-		if len(group) == 0 {
+		if len(batch) == 0 {
 			return
 		}
-		l.commit(bucket, group)
+		l.commit(bucket, batch)
 	}
 }
 
-// commit writes a group of claims and tells each what became of it.
-func (l *Log) commit(bucket int, group []*waiter) {
+// commit writes a batch of claims and reports to each waiter its result.
+func (l *Log) commit(bucket int, batch []*waiter) {
 	ctx, cancel := context.WithTimeout(context.Background(), l.Timeout)
 	defer cancel()
 	log := headlog.Log{Store: l.Store, Key: fmt.Sprintf("claims/%02d", bucket), Trim: l.trim}
 	head, err := log.Append(ctx, func(h headlog.Head) ([]headlog.Proposal, error) {
-		return l.decide(h, group)
+		return l.decide(h, batch)
 	})
-	for _, w := range group {
+	for _, w := range batch {
 		w.done <- l.result(head, err, w.claim)
 	}
 }
@@ -121,10 +122,10 @@
 	return expired(h, time.Now(), l.Keep), nil
 }
 
-// decide returns the claims of a group that may be made.
-func (l *Log) decide(h headlog.Head, group []*waiter) ([]headlog.Proposal, error) {
-	if len(h.Records)-expired(h, time.Now(), l.Keep)+len(group) > maxClaims {
-		return nil, l.full(h)
+// decide returns proposals for those claims of a batch that the claims in force allow.
+func (l *Log) decide(h headlog.Head, batch []*waiter) ([]headlog.Proposal, error) {
+	if len(h.Records)-expired(h, time.Now(), l.Keep)+len(batch) > maxClaims {
+		return nil, l.fullError(h)
 	}
 	latest := make(map[string]claim.Claim)
 	for _, record := range h.Records {
@@ -133,7 +134,7 @@
 		}
 	}
 	var proposals []headlog.Proposal
-	for _, w := range group {
+	for _, w := range batch {
 		holder, exists := latest[w.claim.Key]
 		if !w.claim.Allows(holder, exists) {
 			continue
@@ -148,8 +149,8 @@
 	return proposals, nil
 }
 
-// full returns when the oldest claim may be forgotten.
-func (l *Log) full(h headlog.Head) error {
+// fullError returns a FullError with the time until the oldest claim expires.
+func (l *Log) fullError(h headlog.Head) error {
 	oldest, err := decode(h.Records[0])
 	if err != nil {
 		return trace.Wrap(err)
@@ -157,11 +158,11 @@
 	return trace.Wrap(&FullError{max(time.Until(oldest.At.Add(l.Keep)), time.Second)})
 }
 
-// result tells what became of one claim of a group.
+// result derives the result of one claim from the outcome of its batch's write.
 func (l *Log) result(h headlog.Head, err error, c claim.Claim) error {
-	var doubt *headlog.InDoubtError
-	if errors.As(err, &doubt) {
-		return trace.Wrap(&headlog.InDoubtError{ID: c.ID, Err: doubt.Err})
+	var uncertain *headlog.InDoubtError
+	if errors.As(err, &uncertain) {
+		return trace.Wrap(&headlog.InDoubtError{ID: c.ID, Err: uncertain.Err})
 	}
 	if err != nil {
 		return err
