--- a/state/headlog/log.go
+++ b/state/headlog/log.go
@@ -1,8 +1,9 @@
-// Package headlog keeps an append-only log in one key of the platform's
-// key-value service. A write replaces the key's value under compare-and-swap,
-// so a writer that was paused with an old view can never succeed, whatever it
-// believes it holds. Each record carries the ID of its write, by which a lost
-// answer is settled.
+// Package headlog keeps an append-only log in one key of the platform's key-value
+// service.
+//
+// A write replaces the key's value under compare-and-swap, so a writer that was
+// paused and resumes with an outdated head always fails. Each record carries the ID
+// of its write; a writer that lost the answer looks for this ID in the log.
 package headlog
 
 import (
@@ -17,17 +18,18 @@
 	"github.com/grademill/grademill/port/kv"
 )
 
-// Record is one entry of the log.
+// Record is one record of the log.
 type Record struct {
-	// Revision is the record's place; it rises by one from record to record.
+	// Revision is the record's position in the log; consecutive records have
+	// consecutive revisions.
 	Revision uint64 `json:"revision"`
-	// ID is unique to the write.
+	// ID identifies the write and is unique.
 	ID string `json:"id"`
-	// Body is the content.
+	// Body is the content, which this package does not interpret.
 	Body json.RawMessage `json:"body"`
 }
 
-// Head is the log as one read of the key shows it.
+// Head is the log as of one read of its key, without the records trimmed so far.
 type Head struct {
 	// Base is the revision before the first of Records.
 	Base uint64 `json:"base"`
@@ -37,12 +39,12 @@
 	stored uint64 // revision of the key in the store
 }
 
-// Revision returns the revision of the last record.
+// Revision returns the revision of the last record, or Base if there are none.
 func (h Head) Revision() uint64 {
 	return h.Base + uint64(len(h.Records))
 }
 
-// Find returns the record of a write.
+// Find returns the record of the write with the given ID, and whether the head has it.
 func (h Head) Find(id string) (Record, bool) {
 	for i := len(h.Records) - 1; i >= 0; i-- {
 		if h.Records[i].ID == id {
@@ -52,8 +54,8 @@
 	return Record{}, false
 }
 
-// After returns the records after revision; false when some of them are no
-// longer in the head.
+// After returns the records after revision. It returns false if some of them have been
+// trimmed from the head.
 func (h Head) After(revision uint64) ([]Record, bool) {
 	if revision < h.Base {
 		return nil, false
@@ -64,16 +66,16 @@
 	return h.Records[revision-h.Base:], true
 }
 
-// InDoubtError is a write whose fate could not be settled in time. It may have
-// taken effect, or take effect still.
+// InDoubtError reports a write whose outcome is still uncertain at the end of its
+// context. The write may have taken effect, or may yet do so.
 type InDoubtError struct {
-	// ID is the write to ask about later.
+	// ID identifies the write, for a later Find.
 	ID string
-	// Err is what kept the store from answering.
+	// Err is the reason why the outcome is uncertain.
 	Err error
 }
 
-// Error names the write and the cause.
+// Error returns the ID of the write and the cause.
 func (e *InDoubtError) Error() string {
 	return fmt.Sprintf("write %s is in doubt: %v", e.ID, e.Err)
 }
@@ -83,36 +85,36 @@
 	return e.Err
 }
 
-// CorruptError is a head that does not decode.
+// CorruptError reports that the stored head does not decode.
 type CorruptError struct {
 	Key string
 	Err error
 }
 
-// Error names the key and the cause.
+// Error returns the key and the cause.
 func (e *CorruptError) Error() string {
 	return fmt.Sprintf("head %q: %v", e.Key, e.Err)
 }
 
-// Log is one log. Set the exported fields before the first use. It is safe for
-// concurrent use by any number of processes.
+// Log reads and appends to one log. Set the exported fields before the first use. It is
+// safe for concurrent use by any number of processes.
 type Log struct {
 	// Store is the key-value service.
 	Store kv.Store
-	// Key holds the head.
+	// Key is the key in the store that holds the head.
 	Key string
-	// Trim returns how many of the oldest records to drop before a write; nil
-	// keeps all.
+	// Trim returns the number of oldest records to drop with a write. A nil Trim
+	// keeps all records.
 	Trim func(ctx context.Context, h Head) (int, error)
-	// Pause is the wait between two tries while the store is down; zero means
-	// DefaultPause.
+	// Pause is the wait between two attempts while the store is unavailable; zero
+	// means DefaultPause.
 	Pause time.Duration
 }
 
-// DefaultPause is the wait between two tries while the store is down.
+// DefaultPause is the default wait between two attempts while the store is unavailable.
 const DefaultPause = 100 * time.Millisecond
 
-// Read returns the head as stored now.
+// Read returns the stored head, which is empty if the key does not exist.
 func (l *Log) Read(ctx context.Context) (Head, error) {
 	pair, err := l.Store.Get(ctx, l.Key)
 	var missing *kv.NotFoundError
@@ -125,8 +127,8 @@
 	return l.decode(pair)
 }
 
-// Wait returns the head once it is later than h, or h when the service's time
-// for a watch is up.
+// Wait waits for a later head than h and returns it. It returns h if the store ends the
+// watch without a change.
 func (l *Log) Wait(ctx context.Context, h Head) (Head, error) {
 	pairs, err := l.Store.Watch(ctx, l.Key, h.stored)
 	if err != nil {
@@ -155,26 +157,26 @@
 	Body json.RawMessage
 }
 
-// Decide returns what to append to h. An error ends the append and is returned
-// as it is. It is called again when another write came first.
+// Decide returns the records to append to h. It is called again with the new head if
+// another write came first. An error ends the append, which returns it unchanged.
 type Decide func(h Head) ([]Proposal, error)
 
-// Append appends what decide returns and returns the head with it. Decide
-// gives a proposal the same ID on every call. Append returns an InDoubtError
-// when a write had been sent and its fate could not be settled before ctx
-// ended, and a kv.UnavailableError when none had been.
+// Append appends the records that decide returns and returns the resulting head. Decide
+// must give a proposal the same ID on every call. When ctx ends first, Append returns
+// an InDoubtError if the outcome of a sent write is uncertain, and a
+// kv.UnavailableError if no write was sent.
 func (l *Log) Append(ctx context.Context, decide Decide) (Head, error) {
 	var sent pending
 	for {
 		h, err := l.Read(ctx)
 		if err == nil {
-			switch sent.fate(h) {
-			case fateLanded:
+			switch sent.outcome(h) {
+			case outcomeWritten:
 				return h, nil
-			case fateTrimmed:
+			case outcomeTrimmed:
 				return Head{}, trace.Wrap(&InDoubtError{sent.id, errTrimmed})
 			}
-			h, err = l.try(ctx, h, decide, &sent)
+			h, err = l.attempt(ctx, h, decide, &sent)
 			if err == nil {
 				return h, nil
 			}
@@ -183,61 +185,62 @@
 			return Head{}, err
 		}
 		if err := l.wait(ctx, err); err != nil {
-			return Head{}, sent.doubt(err)
+			return Head{}, sent.uncertain(err)
 		}
 	}
 }
 
-// trimmedError is a record that may have been dropped from the head before its
-// writer could look.
+// trimmedError reports that the record may have been trimmed from the head before its
+// writer read it.
 type trimmedError struct{}
 
-// Error says what happened.
+// Error returns a fixed message.
 func (trimmedError) Error() string {
 	return "the record may have been trimmed"
 }
 
 var errTrimmed = trimmedError{}
 
-// fate is what became of a write without an answer.
-type fate int
+// outcome is the outcome of a write that got no answer.
+type outcome int
 
 const (
-	fateOpen fate = iota
-	fateLanded
-	fateTrimmed
+	outcomeUnknown outcome = iota
+	outcomeWritten
+	outcomeTrimmed
 )
 
-// pending is the last write without an answer. The zero pending is none. A
-// later write that conflicts does not settle it: it may be what came first.
+// pending is the last write that got no answer; the zero value means none. A conflict
+// of a later write does not settle it, since the pending write itself may be the one
+// that caused the conflict.
 type pending struct {
 	id       string
-	revision uint64 // of the record, had it landed
+	revision uint64 // of the write's first record, if the write took effect
 }
 
-func (p pending) fate(h Head) fate {
+func (p pending) outcome(h Head) outcome {
 	if p.id == "" {
-		return fateOpen
+		return outcomeUnknown
 	}
 	if _, ok := h.Find(p.id); ok {
-		return fateLanded
+		return outcomeWritten
 	}
 	if h.Base >= p.revision {
-		return fateTrimmed
+		return outcomeTrimmed
 	}
-	return fateOpen
+	return outcomeUnknown
 }
 
-// doubt returns err, as an InDoubtError when a write is pending.
-func (p pending) doubt(err error) error {
+// uncertain returns err, wrapped in an InDoubtError if a write is pending.
+func (p pending) uncertain(err error) error {
 	if p.id == "" {
 		return err
 	}
 	return trace.Wrap(&InDoubtError{p.id, err})
 }
 
-// try makes one write and notes in sent when it got no answer.
-func (l *Log) try(ctx context.Context, h Head, decide Decide, sent *pending) (Head, error) {
+// attempt makes one write and stores it in sent if it got no answer.
+func (l *Log) attempt(ctx context.Context, h Head, decide Decide, sent *pending) (Head, error) {
 	proposals, err := decide(h)
 	if err != nil {
 		return Head{}, err
@@ -282,7 +285,8 @@
 	return next, nil
 }
 
-// wait pauses between two tries; it returns the cause when ctx ends.
+// wait pauses before the next attempt, but not after a conflict. It returns cause once
+// ctx has ended.
 func (l *Log) wait(ctx context.Context, cause error) error {
 	var conflict *kv.ConflictError
 	if errors.As(cause, &conflict) && ctx.Err() == nil {
@@ -300,7 +304,7 @@
 	}
 }
 
-// retriable reports whether another try may succeed.
+// retriable reports whether another attempt may succeed.
 func retriable(err error) bool {
 	var conflict *kv.ConflictError
 	var unavailable *kv.UnavailableError
