--- a/state/conflog/log.go
+++ b/state/conflog/log.go
@@ -1,6 +1,6 @@
-// Package conflog keeps the operators' configuration as a log in the
-// platform's key-value service: it writes changes, and feeds a replica with
-// those of everyone.
+// Package conflog stores the operators' configuration as a log in the platform's
+// key-value service. A Log appends changes and applies those of all processes to a
+// local replica.
 package conflog
 
 import (
@@ -25,38 +25,37 @@
 	snapshotPrefix = "config/snapshot/"
 )
 
-// Sizes of the log's head: above maxRecords the oldest go into a snapshot and
-// keepRecords stay. Every watcher gets the whole head with each change, so it is
-// short.
+// At maxRecords records, the oldest go into a snapshot and keepRecords stay in the head.
+// The head is short because every watcher receives all of it with each change.
 const (
 	maxRecords  = 48
 	keepRecords = 16
 )
 
-// Log is the configuration log. Make one with New.
+// Log reads and appends to the configuration log. Create it with New.
 type Log struct {
-	// Replica is fed with every change.
+	// Replica is the local replica to which the log applies every change.
 	Replica *replica.Config
 
 	store kv.Store
 	log   headlog.Log
 }
 
-// New returns a log over store that feeds r.
+// New returns a log in store that applies its changes to r.
 func New(store kv.Store, r *replica.Config) *Log {
 	l := &Log{Replica: r, store: store}
 	l.log = headlog.Log{Store: store, Key: headKey, Trim: l.trim}
 	return l
 }
 
-// Change makes a change under a unique write ID and returns its revision. With
-// match set, the object must be at that revision (0: not exist). It returns a
-// config.MatchError when it is not, a config.InvalidError or a
-// policy.CompileError when the change is not acceptable, a
-// headlog.InDoubtError when it may have been accepted, and a
-// kv.UnavailableError when it was not sent.
+// Change appends a change under a unique write ID and returns its revision. If match
+// is not nil, the object must be at that revision; 0 means that it must not exist.
+// Change returns a config.MatchError if the object is at another revision, a
+// config.InvalidError or a policy.CompileError if the change is not valid, a
+// headlog.InDoubtError if the change may have been written, and a
+// kv.UnavailableError if it was not sent.
 func (l *Log) Change(ctx context.Context, id string, c config.Change, match *uint64) (uint64, error) {
-	if err := acceptable(c); err != nil {
+	if err := validate(c); err != nil {
 		return 0, err
 	}
 	body, err := json.Marshal(c)
@@ -67,7 +66,7 @@
 		if _, repeated := h.Find(id); repeated {
 			return nil, nil
 		}
-		if err := l.matches(ctx, h, c, match); err != nil {
+		if err := l.checkMatch(ctx, h, c, match); err != nil {
 			return nil, err
 		}
 		return []headlog.Proposal{{ID: id, Body: body}}, nil
@@ -76,11 +75,11 @@
 		return 0, err
 	}
 	record, _ := head.Find(id)
-	return record.Revision, trace.Wrap(l.feed(ctx, head))
+	return record.Revision, trace.Wrap(l.updateReplica(ctx, head))
 }
 
-// acceptable checks the change itself.
-func acceptable(c config.Change) error {
+// validate checks a change without regard to the current state.
+func validate(c config.Change) error {
 	if len(c.Body) == 0 {
 		return nil
 	}
@@ -97,9 +96,10 @@
 	return policy.Check(c.Name, p)
 }
 
-// matches checks the change's condition against the state at h.
-func (l *Log) matches(ctx context.Context, h headlog.Head, c config.Change, match *uint64) error {
-	if err := l.feed(ctx, h); err != nil {
+// checkMatch checks the condition of a change against the state at h. An object to be
+// deleted must exist.
+func (l *Log) checkMatch(ctx context.Context, h headlog.Head, c config.Change, match *uint64) error {
+	if err := l.updateReplica(ctx, h); err != nil {
 		return err
 	}
 	state, err := l.stateAt(ctx, h)
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// stateAt returns the state at the last revision of h.
+// stateAt returns the configuration at the last revision of h.
 func (l *Log) stateAt(ctx context.Context, h headlog.Head) (*config.State, error) {
 	if state := l.Replica.Current().State; state.Revision == h.Revision() {
 		return state, nil
@@ -133,8 +133,8 @@
 	return state, nil
 }
 
-// Find returns the revision of a write, 0 when neither the changes that are
-// remembered here nor the log have it.
+// Find returns the revision of a write, or 0 if neither the replica's recent changes nor
+// the head of the log contain it.
 func (l *Log) Find(ctx context.Context, id string) (uint64, error) {
 	if revision := l.Replica.Find(id); revision > 0 {
 		return revision, nil
@@ -147,27 +147,27 @@
 	return record.Revision, nil
 }
 
-// Pull reads the log once and feeds the replica.
+// Pull reads the log once and updates the replica.
 func (l *Log) Pull(ctx context.Context) error {
 	h, err := l.log.Read(ctx)
 	if err != nil {
 		return err
 	}
-	return l.feed(ctx, h)
+	return l.updateReplica(ctx, h)
 }
 
-// watchPause is the wait after a failed watch.
-const watchPause = 500 * time.Millisecond
+// watchRetryDelay is the wait after a failed watch.
+const watchRetryDelay = 500 * time.Millisecond
 
-// Watch feeds the replica with each change until ctx ends. Failed, when it is
-// set, is called with each error; the watch goes on.
+// Watch applies each change to the replica until ctx ends. It calls failed, if not nil,
+// with each error and continues.
 func (l *Log) Watch(ctx context.Context, failed func(error)) {
 	var h headlog.Head
 	for ctx.Err() == nil {
 		next, err := l.log.Wait(ctx, h)
 		if err == nil {
 			h = next
-			err = l.feed(ctx, h)
+			err = l.updateReplica(ctx, h)
 		}
 		if err == nil || ctx.Err() != nil {
 			continue
@@ -177,13 +177,13 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(watchPause):
+		case <-time.After(watchRetryDelay):
 		}
 	}
 }
 
-// feed brings the replica up to h.
-func (l *Log) feed(ctx context.Context, h headlog.Head) error {
+// updateReplica brings the replica up to the last revision of h.
+func (l *Log) updateReplica(ctx context.Context, h headlog.Head) error {
 	records, ok := h.After(l.Replica.Revision())
 	if ok {
 		return l.Replica.Apply(records)
@@ -198,7 +198,7 @@
 	return l.Replica.Apply(h.Records)
 }
 
-// snapshot reads the state at a revision that the head starts from.
+// snapshot reads the state at a revision that is the base of a head.
 func (l *Log) snapshot(ctx context.Context, revision uint64) (*config.State, error) {
 	state := new(config.State)
 	if revision == 0 {
@@ -215,9 +215,10 @@
 	return fmt.Sprintf("%s%020d", snapshotPrefix, revision)
 }
 
-// trim writes a snapshot when the head has grown long and returns how many
-// records it covers. The snapshot is in the store before any head that needs
-// it; its content depends on its revision alone, so two writers do not clash.
+// trim writes a snapshot when the head has maxRecords records, and returns the number of
+// records that the snapshot replaces. The snapshot is in the store before any head that
+// depends on it. Its content depends only on its revision, so it does not matter which
+// of two concurrent writers stores it.
 func (l *Log) trim(ctx context.Context, h headlog.Head) (int, error) {
 	if len(h.Records) < maxRecords {
 		return 0, nil
@@ -241,12 +242,13 @@
 	if err != nil && !errors.As(err, &exists) {
 		return 0, trace.Wrap(err)
 	}
-	l.forget(ctx, h.Base)
+	l.deleteOldSnapshots(ctx, h.Base)
 	return drop, nil
 }
 
-// forget drops snapshots older than the one in use. Failing is harmless.
-func (l *Log) forget(ctx context.Context, base uint64) {
+// deleteOldSnapshots deletes the snapshots older than the one at base, which the head in
+// the store still needs. It ignores errors: the next trim tries again.
+func (l *Log) deleteOldSnapshots(ctx context.Context, base uint64) {
 	pairs, err := l.store.List(ctx, snapshotPrefix, "", maxRecords)
 	if err != nil {
 		return
