--- a/state/replica/config.go
+++ b/state/replica/config.go
@@ -1,5 +1,5 @@
-// Package replica holds the configuration that is in force in one process. It
-// never goes back to a lower revision.
+// Package replica holds the configuration in force in one process. Its revision never
+// decreases.
 package replica
 
 import (
@@ -15,32 +15,32 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// maxTail is the number of changes kept for peers that are a little behind, and
-// for operators who ask what became of a write.
+// maxTail is the number of recent changes kept, for peers that lag slightly behind and
+// for operators who query the outcome of a write.
 const maxTail = 1024
 
-// Snapshot is one configuration in force. It is immutable.
+// Snapshot is the configuration in force at one revision. It is immutable.
 type Snapshot struct {
 	State *config.State
-	// Policies are compiled from State, or from the latest state whose
-	// policies compiled here.
+	// Policies are compiled from State, or from the latest earlier state whose
+	// policies compiled in this process.
 	Policies *policy.Set
-	// TeamByKey maps the hash of a key to its team.
+	// TeamByKey maps the SHA-256 hash of an API key to the name of its team.
 	TeamByKey map[string]string
 }
 
-// Config is the replica. Make one with New. It is safe for concurrent use;
-// readers never wait.
+// Config is a replica of the configuration. Create it with New. It is safe for concurrent
+// use, and Current never blocks.
 type Config struct {
 	current atomic.Pointer[Snapshot]
 
 	mu   sync.Mutex // held by writers
 	tail []headlog.Record
-	// changed is closed and replaced at each change.
+	// changed is closed and replaced with each new revision.
 	changed chan struct{}
 }
 
-// New returns a replica of the empty configuration at revision 0.
+// New returns a replica that holds the empty configuration at revision 0.
 func New() *Config {
 	c := &Config{changed: make(chan struct{})}
 	c.current.Store(&Snapshot{State: new(config.State), Policies: new(policy.Set)})
@@ -57,15 +57,15 @@
 	return c.Current().State.Revision
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed when the next revision is in force.
 func (c *Config) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changed
 }
 
-// Apply installs records that follow the state in force, skips those that are
-// in force already, and returns a config.OrderError at a hole.
+// Apply applies records to the state in force. It skips records that are already
+// applied, and returns a config.OrderError if a revision is missing.
 func (c *Config) Apply(records []headlog.Record) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +87,7 @@
 	return c.install(state)
 }
 
-// Install installs a whole state unless it is not newer than the one in force.
+// Install replaces the state in force with a newer one, and ignores one that is not newer.
 func (c *Config) Install(state *config.State) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,7 +98,7 @@
 	return c.install(state)
 }
 
-// Find returns the revision of a write among the latest changes, or 0.
+// Find returns the revision of a write, or 0 if it is not among the recent changes.
 func (c *Config) Find(id string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +110,9 @@
 	return 0
 }
 
-// install publishes state; c.mu is held.
+// install publishes state unless it is not newer, and wakes those who wait for Changed.
+// If the policies do not compile, it keeps the former ones, publishes the rest and returns
+// the error. The caller holds c.mu.
 func (c *Config) install(state *config.State) error {
 	former := c.Current()
 	if state.Revision <= former.State.Revision {
@@ -132,7 +134,7 @@
 	return err
 }
 
-// Next returns the state after a record.
+// Next returns the state that results from applying a record to state.
 func Next(state *config.State, record headlog.Record) (*config.State, error) {
 	var change config.Change
 	if err := json.Unmarshal(record.Body, &change); err != nil {
@@ -141,7 +143,8 @@
 	return state.With(record.Revision, change)
 }
 
-// Since returns what a peer at the given revision has missed.
+// Since returns the changes after the given revision for a peer, or a snapshot if the
+// recent changes do not reach back that far.
 func (c *Config) Since(revision uint64) (*wire.SyncReply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,12 +168,12 @@
 	return reply, nil
 }
 
-// Take installs what a peer has sent.
+// Take applies a peer's reply, which holds a snapshot or changes.
 func (c *Config) Take(reply *wire.SyncReply) error {
 	if len(reply.GetSnapshot()) > 0 {
 		state := new(config.State)
 		if err := json.Unmarshal(reply.GetSnapshot(), state); err != nil {
-			return trace.Wrap(err, "snapshot of a peer")
+			return trace.Wrap(err, "decode snapshot from peer")
 		}
 		return c.Install(state)
 	}
@@ -178,7 +181,7 @@
 	for _, change := range reply.GetChanges() {
 		var record headlog.Record
 		if err := json.Unmarshal(change, &record); err != nil {
-			return trace.Wrap(err, "change of a peer")
+			return trace.Wrap(err, "decode change from peer")
 		}
 		records = append(records, record)
 	}
--- a/state/replica/config_test.go
+++ b/state/replica/config_test.go
@@ -21,15 +21,15 @@
 	return all
 }
 
-func TestRevisionNeverFalls(t *testing.T) {
+func TestRevisionNeverDecreases(t *testing.T) {
 	c := replica.New()
 	require.NoError(t, c.Apply(records(1, 5)))
-	require.NoError(t, c.Apply(records(2, 4)), "what is in force already is skipped")
+	require.NoError(t, c.Apply(records(2, 4)), "records that are already applied are skipped")
 	require.NoError(t, c.Install(&config.State{Revision: 3}))
 	require.Equal(t, uint64(5), c.Revision())
 	require.InDelta(t, 5, c.Current().State.Teams["t"].Value.Weight, 0)
-	var hole *config.OrderError
-	require.True(t, errors.As(c.Apply(records(7, 8)), &hole))
+	var missing *config.OrderError
+	require.True(t, errors.As(c.Apply(records(7, 8)), &missing))
 	require.Equal(t, uint64(5), c.Revision())
 	require.Equal(t, uint64(4), c.Find("write-4"))
 	require.Zero(t, c.Find("write-9"))
@@ -50,9 +50,9 @@
 	}
 }
 
-// A policy that does not compile here leaves the former policies in force; the
-// rest of the change counts.
-func TestPolicyThatDoesNotCompileKeepsTheFormer(t *testing.T) {
+// A policy that does not compile leaves the former policies in force, while the revision
+// advances.
+func TestInvalidPolicyKeepsFormerPolicies(t *testing.T) {
 	c := replica.New()
 	require.NoError(t, c.Apply([]headlog.Record{{Revision: 1, ID: "a", Body: []byte(
 		`{"kind":"policies","name":"p","body":{"match":"true","priority":"7"}}`)}}))
