--- a/state/budgets/budgets.go
+++ b/state/budgets/budgets.go
@@ -1,4 +1,5 @@
-// Package budgets keeps this process's part of what a fleet may send again, by service.
+// Package budgets limits the retries of this process by service, to its share of the
+// retry budgets of the whole fleet.
 package budgets
 
 import (
@@ -8,56 +9,59 @@
 	"github.com/grademill/grademill/decide/retry"
 )
 
-// margin is the part of the allowance that is used: processes come and go.
-const margin = 0.85
+// usableFraction is the fraction of the budgets that processes use. The remainder covers
+// changes in the number of processes.
+const usableFraction = 0.85
 
-// Budgets are the retry budgets of services. Set the exported fields before the first use. They are safe
-// for concurrent use.
+// Budgets holds the retry budgets of services. Set the exported fields before the first
+// use. It is safe for concurrent use.
 type Budgets struct {
-	// Share, Reserve and Window bound what all processes together send again to a service.
+	// All processes together may retry, within Window, the fraction Share of a service's
+	// first attempts and Reserve more requests.
 	Share   float64
 	Reserve int
 	Window  time.Duration
-	// Size returns the number of processes, which divide the reserve evenly.
+	// Size returns the number of processes, among which the reserve is divided evenly.
 	Size func() int
 
-	mu sync.Mutex // guards what follows
-	// services are by name.
+	mu sync.Mutex // guards services
+	// services holds the budgets by service name.
 	services map[string]*retry.Budget
 }
 
-// First counts a request for a service at now.
+// First counts the first attempt of a request for a service at now.
 func (b *Budgets) First(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).First(now)
+	b.budgetOf(service).First(now)
 }
 
-// Allow takes one retry of a service out of this process's part at now, and reports whether there was
-// one.
+// Allow takes one retry from this process's share of a service's budget at now, and
+// reports whether there was one.
 func (b *Budgets) Allow(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(service).Allow(now)
+	return b.budgetOf(service).Allow(now)
 }
 
-// Return gives a retry back that was allowed and not used.
+// Return gives back a retry that was allowed but not used.
 func (b *Budgets) Return(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).Return()
+	b.budgetOf(service).Return()
 }
 
-// of returns the budget of a service; b.mu is held.
-func (b *Budgets) of(service string) *retry.Budget {
-	one := b.services[service]
-	if one == nil {
+// budgetOf returns the budget of a service, with the reserve for the present number of
+// processes. The caller holds b.mu.
+func (b *Budgets) budgetOf(service string) *retry.Budget {
+	budget := b.services[service]
+	if budget == nil {
 		if b.services == nil {
 			b.services = make(map[string]*retry.Budget)
 		}
-		one = &retry.Budget{Share: b.Share * margin, Window: b.Window}
-		b.services[service] = one
+		budget = &retry.Budget{Share: b.Share * usableFraction, Window: b.Window}
+		b.services[service] = budget
 	}
-	one.Reserve = int(float64(b.Reserve) * margin / float64(b.Size()))
-	return one
+	budget.Reserve = int(float64(b.Reserve) * usableFraction / float64(b.Size()))
+	return budget
 }
--- a/state/budgets/budgets_test.go
+++ b/state/budgets/budgets_test.go
@@ -9,7 +9,8 @@
 	"github.com/grademill/grademill/state/budgets"
 )
 
-// Each process has its part of the reserve, and a budget for each service.
+// Each process has its share of the reserve for each service. The share grows when another
+// process leaves.
 func TestReserveIsDivided(t *testing.T) {
 	size := 4
 	b := budgets.Budgets{Share: 0.2, Reserve: 40, Window: 10 * time.Second, Size: func() int { return size }}
@@ -29,5 +30,5 @@
 	}
 	require.Equal(t, 17, allowed("a"))
 	size = 2
-	require.Equal(t, 9, allowed("b"), "another process has left its part")
+	require.Equal(t, 9, allowed("b"), "the share of the reserve doubles when half of the processes leave")
 }
