--- a/state/turnstile/turnstile.go
+++ b/state/turnstile/turnstile.go
@@ -1,18 +1,20 @@
-// Package turnstile counts what is in flight, and closes without letting one slip through.
+// Package turnstile counts requests in flight and stops admitting them atomically, so that
+// no request enters unnoticed during shutdown.
 package turnstile
 
 import "sync/atomic"
 
-// closedCount is far below zero: adding any number of requests keeps it so.
-const closedCount = -1 << 40
+// closedOffset is added to the count of a closed turnstile. It is so far below zero that
+// no number of requests raises the count above zero.
+const closedOffset = -1 << 40
 
-// Turnstile counts requests in flight, and can be closed without letting one
-// slip through. The zero Turnstile is open.
+// Turnstile counts requests in flight. Once it is closed, no request enters. The zero
+// Turnstile is open. It is safe for concurrent use.
 type Turnstile struct {
 	n atomic.Int64
 }
 
-// Enter counts a request, unless the turnstile is closed.
+// Enter counts a request and reports true, or false if the turnstile is closed.
 func (t *Turnstile) Enter() bool {
 	if t.n.Add(1) > 0 {
 		return true
@@ -21,7 +23,7 @@
 	return false
 }
 
-// Leave takes a request out of the count.
+// Leave removes a request from the count.
 func (t *Turnstile) Leave() {
 	t.n.Add(-1)
 }
@@ -30,19 +32,19 @@
 func (t *Turnstile) Count() int {
 	n := t.n.Load()
 	if n < 0 {
-		n -= closedCount
+		n -= closedOffset
 	}
 	return int(n)
 }
 
-// Close closes the turnstile if no request is in flight, or with force in any
-// case, and reports whether it is closed.
+// Close closes the turnstile if no request is in flight, or regardless of requests in flight
+// if force is set. It reports whether the turnstile is closed.
 func (t *Turnstile) Close(force bool) bool {
-	if t.n.CompareAndSwap(0, closedCount) {
+	if t.n.CompareAndSwap(0, closedOffset) {
 		return true
 	}
 	if force {
-		t.n.Add(closedCount)
+		t.n.Add(closedOffset)
 	}
 	return force
 }
--- a/state/turnstile/turnstile_test.go
+++ b/state/turnstile/turnstile_test.go
@@ -8,11 +8,11 @@
 	"github.com/grademill/grademill/state/turnstile"
 )
 
-func TestTurnstile(t *testing.T) {
+func TestCloseOnlyWithoutRequestsInFlight(t *testing.T) {
 	var s turnstile.Turnstile
 	require.True(t, s.Enter())
 	require.Equal(t, 1, s.Count())
-	require.False(t, s.Close(false), "one is in flight")
+	require.False(t, s.Close(false), "a request is in flight")
 	require.True(t, s.Enter())
 	s.Leave()
 	s.Leave()
@@ -21,8 +21,9 @@
 	require.Zero(t, s.Count())
 }
 
-// With force it closes while requests are in flight, and counts them on.
-func TestForce(t *testing.T) {
+// A forced close takes effect while requests are in flight, which still count until they
+// leave.
+func TestForcedCloseKeepsCounting(t *testing.T) {
 	var s turnstile.Turnstile
 	require.True(t, s.Enter())
 	require.True(t, s.Close(true))
