--- a/state/set/set.go
+++ b/state/set/set.go
@@ -1,4 +1,4 @@
-// Package set has sets for concurrent use.
+// Package set provides a set that is safe for concurrent use.
 package set
 
 import (
@@ -13,7 +13,7 @@
 	values map[T]struct{}
 }
 
-// Add adds a value.
+// Add adds value to the set, unless it is already there.
 func (s *Set[T]) Add(value T) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -23,14 +23,14 @@
 	s.values[value] = struct{}{}
 }
 
-// Remove removes a value.
+// Remove removes value from the set, if it is there.
 func (s *Set[T]) Remove(value T) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.values, value)
 }
 
-// Values returns the values of the moment, in no order.
+// Values returns a copy of the values in the set, in no particular order.
 func (s *Set[T]) Values() []T {
 	s.mu.Lock()
 	defer s.mu.Unlock()
