--- a/port/exchange/exchange.go
+++ b/port/exchange/exchange.go
@@ -1,5 +1,6 @@
-// Package exchange is the port to the HTTP dialect that callers and endpoints
-// speak: what the headers of a request and of an answer mean.
+// Package exchange defines the interface to the HTTP headers of a platform. A Dialect
+// converts the headers that a gateway exchanges with callers and endpoints from and to
+// the types of this package.
 package exchange
 
 import (
@@ -10,61 +11,68 @@
 	"github.com/grademill/grademill/decide/throttle"
 )
 
-// Ask is what a caller says of its request, beside method, path and body.
+// Ask holds the contents of a caller's request headers.
 type Ask struct {
-	// ID belongs to this try of the caller alone; empty when there is none.
+	// ID identifies this attempt of the caller; a retry has another ID. It is empty if
+	// the caller sends none.
 	ID string
-	// Key is the API key; empty when there is none.
+	// Key is the API key, empty if the caller sends none.
 	Key string
-	// Patience is how long the caller waits; 0 when it does not say.
+	// Patience is how long the caller waits for the answer, 0 if it does not say.
 	Patience time.Duration
-	// Prompt is the number of tokens to be read, MaxAnswer the most that may be
-	// written, LikelyAnswer the caller's guess; 0 when it does not say.
+	// Prompt is the number of tokens in the prompt, MaxAnswer the maximum number in the
+	// answer, and LikelyAnswer the number that the caller expects. Each is 0 if the
+	// caller does not send it.
 	Prompt, MaxAnswer, LikelyAnswer int
 	// After is the ID of the last event that the caller has; empty for none.
 	After string
 }
 
-// Send is what an endpoint is told with a request.
+// Send holds the contents of the headers that a gateway sends to an endpoint with a
+// request.
 type Send struct {
-	// Team holds the caller's key; empty for public routes.
+	// Team is the team to which the caller's key belongs, empty for public routes.
 	Team string
-	// Left is how long the answer is still of use.
+	// Left is the time left until the deadline of the request.
 	Left time.Duration
-	// Endpoint is the ID of the only endpoint that may take the request.
+	// Endpoint is the ID of the endpoint that the request is meant for. No other may run
+	// it.
 	Endpoint string
-	// Priority is from 0, the most urgent, to 9.
+	// Priority ranges from 0, the most urgent, to 9.
 	Priority int
-	// Chain is the way through the layers; empty for plain services.
+	// Chain lists the endpoints through which the request passes, with the layers that
+	// each runs; empty for plain services.
 	Chain chain.Chain
 	// After is the ID of the last event that the caller has; empty for none.
 	After string
 }
 
-// Reply is what an endpoint says with its answer.
+// Reply holds the contents of the headers of an endpoint's answer.
 type Reply struct {
-	// ID is that of the request that the answer is for; empty when it does not
-	// say.
+	// ID is the ID of the answered request, empty if the answer has none.
 	ID string
-	// Signed is set when the endpoint vouches for the answer.
+	// Signed is set if the answer bears the endpoint's seal, which shows that it is the
+	// endpoint's own.
 	Signed bool
-	// NotRun is set when the endpoint states that it has not run the request.
+	// NotRun is set if the endpoint states that it has not run the request.
 	NotRun bool
-	// Blamed is the address of the endpoint of the chain that refused; empty
-	// when it does not say.
+	// Blamed is the address of the endpoint of the chain that refused the request,
+	// empty if the answer names none.
 	Blamed string
-	// Running, Waiting and Slots are the load; Slots is 0 when it does not say.
+	// Running and Waiting count the endpoint's requests, and Slots is the number that
+	// it can run at a time. Slots is 0 if the answer does not report the load.
 	Running, Waiting, Slots int
-	// Word is what it says of the requests that it takes.
+	// Word is the endpoint's report on the requests that it accepts: its rate limit, the
+	// backoff period that it asks for, and whether it is leaving.
 	Word throttle.Word
 }
 
-// Dialect translates headers. Its methods are safe for concurrent use.
+// Dialect reads and writes a platform's headers. Its methods are safe for concurrent use.
 type Dialect interface {
-	// Ask reads a caller's headers.
+	// Ask reads a caller's headers. It returns an error if a header cannot be read.
 	Ask(h http.Header) (Ask, error)
-	// Send turns a copy of a caller's headers into those for an endpoint.
+	// Send changes h, a copy of a caller's headers, into the headers for an endpoint.
 	Send(h http.Header, s Send)
-	// Reply reads the headers of an endpoint's answer.
+	// Reply reads the status and the headers of an endpoint's answer.
 	Reply(status int, h http.Header) Reply
 }
--- a/port/hosts/lister.go
+++ b/port/hosts/lister.go
@@ -1,24 +1,24 @@
-// Package hosts is the port to the platform's list of hosts.
+// Package hosts defines the interface to the platform's list of hosts.
 package hosts
 
 import "context"
 
-// Host is one row of the list. The list lags: a live host may be missing, a
-// dead one may still be on it.
+// Host is one entry of the list. The list lags behind: it may lack a live host, and may
+// still contain a dead one.
 type Host struct {
 	Name string `json:"name"`
-	// Role is "entry" or "agent".
+	// Role is the role of the host's process, "entry" or "agent".
 	Role string `json:"role"`
 	Hall string `json:"hall"`
-	// Address is where the process of the system on the host takes steps and
-	// control calls.
+	// Address is the address at which the host's process accepts steps and control
+	// calls.
 	Address string `json:"address"`
-	// Leaving is set when the platform is about to take the host away.
+	// Leaving is set when the platform is about to remove the host.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Lister reads the list.
+// Lister reads the list of hosts.
 type Lister interface {
-	// Hosts returns the list as the platform has it now.
+	// Hosts returns the platform's present list.
 	Hosts(ctx context.Context) ([]Host, error)
 }
--- a/port/kv/feed.go
+++ b/port/kv/feed.go
@@ -6,55 +6,54 @@
 	"time"
 )
 
-// Page is a part of what a store holds, or of what has changed in it.
+// Page is one page of a scan of the store, or of its changes.
 type Page struct {
-	// Pairs are in the order of their keys, or in that of the changes.
+	// Pairs are ordered by key in a scan, and by time in changes.
 	Pairs []Pair
-	// More is set when a scan has another page.
+	// More is set if the scan has another page.
 	More bool
-	// At is the store's revision that the page stands for; it only rises.
+	// At is the store's revision as of the page. It never decreases.
 	At uint64
-	// Lag is how long before the call was sent all that had been written was certainly
-	// in the page: 0 from the store itself, below 0 from another process that held the
-	// call until it knew more.
+	// Lag bounds the age of the page: it contains all that was written up to the time
+	// Lag before the call was sent. It is 0 in pages of the store itself, and negative if
+	// another process held the call until it had newer data.
 	Lag time.Duration
-	// Paced is set when whoever answers sees to it that calls do not follow each other
-	// too fast.
+	// Paced is set if the answering process itself limits the rate of calls, so the
+	// caller need not.
 	Paced bool
 }
 
-// Feed reads a store together with its revision, so that a copy of it can be
-// kept current. All reads but stale ones are linearizable: what was written before
-// the call was sent is seen.
+// Feed reads a store together with its revision, so that a copy can be kept current. All
+// reads except ScanStale are linearizable: they return everything that was written before
+// the call was sent.
 type Feed interface {
-	// Scan returns a page of the pairs whose keys start with prefix and lie
-	// after the key after. Several pages are no snapshot.
+	// Scan returns a page of the pairs whose keys start with prefix and sort after the
+	// key after. Successive pages do not form a snapshot.
 	Scan(ctx context.Context, prefix, after string) (Page, error)
-	// ScanStale returns a page as Scan does, as of a revision that may be seconds old. It
-	// costs the store less.
+	// ScanStale is like Scan, but its page may be seconds old. It costs the store less.
 	ScanStale(ctx context.Context, prefix, after string) (Page, error)
-	// Changes waits up to wait for changes under prefix after a revision. An
-	// empty page means that there was none. It returns a CompactedError when
-	// the store no longer knows what changed since.
+	// Changes waits up to wait for changes under prefix after revision. It returns an
+	// empty page if there were none, and a CompactedError if the store's history no longer
+	// contains the changes since revision.
 	Changes(ctx context.Context, prefix string, revision uint64, wait time.Duration) (Page, error)
 }
 
-// CompactedError is a revision that the store's history no longer reaches.
+// CompactedError reports that the store's history no longer reaches back to a revision.
 type CompactedError struct {
 	Revision uint64
 }
 
-// Error names the revision.
+// Error returns a message with the revision.
 func (e *CompactedError) Error() string {
 	return fmt.Sprintf("the store's history no longer reaches revision %d", e.Revision)
 }
 
-// RefusedError is a call that the store refused without doing anything.
+// RefusedError reports a call that the store refused and that had no effect.
 type RefusedError struct {
 	Status int
 }
 
-// Error returns the status.
+// Error returns a message with the status.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("the store refused the call with status %d", e.Status)
 }
--- a/port/kv/store.go
+++ b/port/kv/store.go
@@ -1,4 +1,5 @@
-// Package kv is the port to the platform's key-value service.
+// Package kv defines the interface to the platform's key-value service, the store: reads,
+// conditional writes, leases and watches.
 package kv
 
 import (
@@ -12,75 +13,75 @@
 type Pair struct {
 	Key   string
 	Value []byte
-	// Revision rises with each write in the store; it is never 0 for a pair
-	// that exists.
+	// Revision is the store's revision at the last write of the key. It rises with each
+	// write and is never 0 for a pair that exists.
 	Revision uint64
-	// Deleted is set on pairs that a watch reports as gone.
+	// Deleted is set on pairs that a watch reports as deleted.
 	Deleted bool
 }
 
-// Write is a conditional write.
+// Write is a conditional write of one key.
 type Write struct {
 	Key   string
 	Value []byte
-	// If is the revision that the key must have; 0 means that it must not
-	// exist.
+	// If is the revision that the key must have; 0 means that it must not exist.
 	If uint64
-	// Lease binds the key's life to a lease; empty for none.
+	// Lease is the lease with which the key expires, empty for none.
 	Lease string
 }
 
-// Store is the key-value service. A call that fails with a ConflictError took
-// no effect. One that fails with an UnavailableError may have taken effect
-// when it was a write.
+// Store is the key-value service. A call that fails with a ConflictError had no effect. A
+// write that fails with an UnavailableError may have taken effect.
 type Store interface {
-	// Get returns the pair of key, or a NotFoundError.
+	// Get returns the pair with the given key, or a NotFoundError.
 	Get(ctx context.Context, key string) (Pair, error)
-	// List returns up to limit pairs whose keys start with prefix and lie
-	// after the key after, in the order of their keys.
+	// List returns up to limit pairs whose keys start with prefix and sort after the key
+	// after, in the order of their keys.
 	List(ctx context.Context, prefix, after string, limit int) ([]Pair, error)
-	// Put writes if the condition holds and returns the new revision.
+	// Put writes w and returns the new revision, or a ConflictError if the condition does
+	// not hold.
 	Put(ctx context.Context, w Write) (uint64, error)
-	// Delete removes key if it has the revision.
+	// Delete deletes key if it is at the given revision.
 	Delete(ctx context.Context, key string, revision uint64) error
-	// Watch waits for changes under prefix after revision and returns them,
-	// or nothing when the service's own time is up.
+	// Watch waits for changes under prefix after revision and returns them, or nothing
+	// when the service's own time limit for a watch ends.
 	Watch(ctx context.Context, prefix string, revision uint64) ([]Pair, error)
-	// Grant makes a lease that lapses unless it is kept alive.
+	// Grant creates a lease that expires after ttl unless KeepAlive renews it, and
+	// returns its ID.
 	Grant(ctx context.Context, ttl time.Duration) (string, error)
-	// KeepAlive renews a lease, or returns a NotFoundError when it lapsed.
+	// KeepAlive renews a lease, or returns a NotFoundError if it has expired.
 	KeepAlive(ctx context.Context, lease string) error
 }
 
-// NotFoundError is a key or lease that does not exist.
+// NotFoundError reports that a key or lease does not exist.
 type NotFoundError struct {
 	Key string
 }
 
-// Error names the key.
+// Error returns a message with the key.
 func (e *NotFoundError) Error() string {
 	return fmt.Sprintf("no key %q in the store", e.Key)
 }
 
-// Missing reports whether an error says that the key or lease does not exist.
+// Missing reports whether err is or wraps a NotFoundError.
 func Missing(err error) bool {
 	var missing *NotFoundError
 	return errors.As(err, &missing)
 }
 
-// ConflictError is a write whose condition did not hold.
+// ConflictError reports a write whose condition did not hold.
 type ConflictError struct {
 	Key string
-	// Revision is the key's revision, 0 when it does not exist.
+	// Revision is the key's actual revision, 0 if the key does not exist.
 	Revision uint64
 }
 
-// Error names the key and its revision.
+// Error returns a message with the key and its revision.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("key %q is at revision %d", e.Key, e.Revision)
 }
 
-// UnavailableError is a call without an answer. A write may have taken effect.
+// UnavailableError reports a call that got no answer. A write may have taken effect.
 type UnavailableError struct {
 	Err error
 }
@@ -95,8 +96,9 @@
 	return e.Err
 }
 
-// UnaskedError is a question that was not put to the store, since it is left to other
-// processes and these had no answer. It says nothing of the store.
+// UnaskedError reports a read that was not sent to the store, since other processes ask the
+// store in place of this one and none of them answered. It does not mean that the store is
+// unavailable.
 type UnaskedError struct {
 	Err error
 }
--- a/port/service/service.go
+++ b/port/service/service.go
@@ -1,4 +1,5 @@
-// Package service is the port to a plain service beside the model engines.
+// Package service defines the interface to a plain service, an endpoint that is not a model
+// engine.
 package service
 
 import (
@@ -12,7 +13,7 @@
 	Path        string
 	Body        []byte
 	ContentType string
-	// Key goes to the service as its Idempotency-Key header.
+	// Key is sent to the service in the Idempotency-Key header.
 	Key string
 }
 
@@ -23,19 +24,19 @@
 	ContentType string
 }
 
-// OK reports whether the service did what was asked.
+// OK reports whether the service answered with a status from 200 to 299.
 func (r Reply) OK() bool {
 	return r.Status >= http.StatusOK && r.Status < http.StatusMultipleChoices
 }
 
-// Service runs calls.
+// Service runs calls of a plain service.
 type Service interface {
-	// Do runs r. After an error the call may have run, unless the error is an
-	// UnsentError.
+	// Do runs r and returns the service's answer. If it returns an error other than an
+	// UnsentError, the service may have run the call.
 	Do(ctx context.Context, r Request) (Reply, error)
 }
 
-// UnsentError is a call that never reached the service.
+// UnsentError reports that a call was never sent to the service.
 type UnsentError struct {
 	Err error
 }
