--- a/state/runonce/runner.go
+++ b/state/runonce/runner.go
@@ -72,9 +72,9 @@
 }
 
 // The pause before the claim of another entry is settled. It doubles with each
-// conflict until it exceeds the time that a busy host needs to start a call. Half of
-// it is random, so that two entries that run the same key at the same time do not bar
-// each other's claims for ever.
+// conflict, at most maxDoublings times, so that it comes to exceed the time that a busy
+// host needs to start a call. Half of it is random, so that two entries that run the
+// same key at the same time do not bar each other's claims for ever.
 const (
 	firstPause   = 25 * time.Millisecond
 	maxDoublings = 5
