--- a/state/watchcache/cache.go
+++ b/state/watchcache/cache.go
@@ -1,6 +1,9 @@
-// Package watchcache lets the gateways of a hall share what a few of them ask of the store.
-// One that asks the store keeps the newest changes and when they were certainly all; the
-// others ask it, and add the age of its proof to the time of their own question.
+// Package watchcache lets the gateways of a hall share the responses that a few of them get from
+// the store.
+//
+// A gateway that queries the store puts the newest changes and the time of its freshness proof
+// into a Cache. The others query that gateway through a Feed, and add the age of its proof to the
+// time at which they sent their own request.
 package watchcache
 
 import (
@@ -14,132 +17,134 @@
 	"github.com/grademill/grademill/port/kv"
 )
 
-// What is kept for others. Of each key only the newest change is, so that no more is kept than the
-// store holds. Whoever needs an older change reads all anew.
+// Bounds of the retained changes. Only the newest change of each key is retained, so that the
+// cache never holds more than the store. A gateway that needs an older change reads everything
+// again.
 const (
-	// keptFor is how long a change is kept whatever it takes: longer than a question of another
-	// gateway is late. A bound by bytes alone is passed within a second when a large fleet starts or
-	// is configured, and then all read the store anew.
-	keptFor = 6 * time.Second
-	// maxKept bounds the bytes of older changes.
-	maxKept = 128 << 10
+	// minRetention is how long a change is retained regardless of its size; it is longer than a
+	// request of another gateway is delayed. With a bound in bytes alone, a large fleet exceeds it
+	// within a second when it starts or is configured, and every gateway reads the store again.
+	minRetention = 6 * time.Second
+	// maxBytes bounds the bytes of changes older than minRetention.
+	maxBytes = 128 << 10
 )
 
-// pairOverhead is what a pair takes beside its key and value, in bytes.
+// pairOverhead is the memory in bytes that a pair takes in addition to its key and value.
 const pairOverhead = 64
 
-// minGain is by how much newer a proof must be than that of who asks to be told at once:
-// otherwise the next one is waited for.
+// minGain is how much newer than the requester's proof the own proof must be for an immediate
+// answer. Otherwise the request waits for the next proof.
 const minGain = 150 * time.Millisecond
 
-// Question is what a gateway asks another one.
+// Question is a request of one gateway to another for changes and a newer freshness proof.
 type Question struct {
-	// After is the revision up to which the asker knows all.
+	// After is the revision up to which the requester knows all changes.
 	After uint64
-	// Age is the age of the asker's proof.
+	// Age is the age of the requester's proof.
 	Age time.Duration
-	// Wait is how long a newer proof may be waited for.
+	// Wait bounds the wait for a newer proof.
 	Wait time.Duration
 }
 
-// Answer answers a Question.
+// Answer is the response to a Question.
 type Answer struct {
-	// Pairs are the changes after the revision, in order, and late ones: see Feed.
+	// Pairs are the changes after the revision, in order, and changes that a watch missed: see
+	// Feed.
 	Pairs []kv.Pair
-	// At is the store's revision that the answer stands for.
+	// At is the revision of the store that the answer is valid for.
 	At uint64
-	// Age is how long before the answer all that had been written was certainly known.
+	// Age is the age of the freshness proof when the answer was sent.
 	Age time.Duration
-	// Sum is that of the copy at the revision, 0 when it is not known.
+	// Sum is the checksum of the replica at the revision, 0 if unknown.
 	Sum uint64
-	// Held is how long the question waited. The answer's proof is therefore no older
-	// than Age less Held before the question was sent, whatever the way took.
+	// Held is how long the request waited. The answer's proof is therefore at most Age less Held
+	// older than the time at which the request was sent, whatever the network delay.
 	Held time.Duration
 }
 
-// ErrRefused is a question that another gateway has heard and does not answer. The reasons are of this
-// kind; the asker turns to another gateway, or to the store.
-var ErrRefused = errors.New("the question is refused")
+// ErrRefused reports that another gateway received a request and declined to answer it. The errors
+// below wrap it; the requester turns to another gateway or to the store.
+var ErrRefused = errors.New("the request is refused")
 
-// The reasons for which a question is refused.
+// The reasons for which a gateway refuses a request.
 var (
-	// ErrIndirect is a gateway that does not ask the store itself, or that the store has
-	// not answered: ages would add up without a bound.
-	ErrIndirect = fmt.Errorf("%w: this gateway does not have its changes from the store", ErrRefused)
-	// ErrForgotten is a revision that the history no longer reaches.
-	ErrForgotten = fmt.Errorf("%w: the changes since then are no longer kept", ErrRefused)
-	// ErrNoNews is a question for which no newer proof has come in time.
-	ErrNoNews = fmt.Errorf("%w: there was no newer proof in time", ErrRefused)
+	// ErrIndirect reports that the gateway does not query the store itself, or that the store has
+	// not answered it. Relaying such proofs would let their ages add up without bound.
+	ErrIndirect = fmt.Errorf("%w: this gateway does not get its changes from the store", ErrRefused)
+	// ErrForgotten reports a revision older than the retained changes.
+	ErrForgotten = fmt.Errorf("%w: the changes since the revision are no longer retained", ErrRefused)
+	// ErrNoNews reports that no newer proof arrived within the wait.
+	ErrNoNews = fmt.Errorf("%w: no newer freshness proof arrived in time", ErrRefused)
 )
 
-// Cache is what a gateway has lately learned of the store. The zero Cache is empty.
+// Cache holds the recent changes of the store that a gateway knows. The zero Cache is empty.
 type Cache struct {
-	// Now reads the clock of proofs, nil for time.Now: see mirror.Mirror.
+	// Now reads the clock of freshness proofs; nil stands for time.Now. See mirror.Mirror.
 	Now func() time.Time
 
 	mu sync.Mutex // guards what follows
-	// changes are those after floor, in the order in which they were learned, and bytes their
-	// size.
+	// changes are the changes after revision trimmed, in the order in which this gateway learned
+	// them. bytes is their size.
 	changes []change
 	bytes   int
-	floor   uint64
-	// at is the revision up to which all is known, sum that of the copy, 0 when it is not known.
+	trimmed   uint64
+	// at is the revision up to which all changes are known. sum is the checksum of the replica at
+	// that revision, 0 if unknown.
 	at  uint64
 	sum uint64
-	// proven is when that was certainly all that had been written; direct is set while
-	// the store itself said so.
+	// proven is the time up to which all writes are certainly known. direct is set while the proof
+	// comes from the store itself.
 	proven time.Time
 	direct bool
-	// changed is closed with the next change of the above.
+	// changed is closed at the next change of the fields above.
 	changed chan struct{}
 }
 
-// change is a change that is kept for others.
+// change is a change retained for other gateways.
 type change struct {
 	kv.Pair
-	// at is when it was learned.
+	// at is when this gateway learned the change.
 	at time.Time
-	// late is set for one that a watch may have passed over: those who ask may have been told of
-	// later revisions without it.
+	// late marks a change that a watch may have missed: requesters may already know later
+	// revisions without it.
 	late bool
 }
 
-// Reset begins anew: all was read, at a revision, by a question that was sent at a time. Sum is that of
-// the copy.
+// Reset replaces the content after a full read at revision at, requested at time sent. sum is the
+// checksum of the replica.
 func (c *Cache) Reset(at uint64, sent time.Time, sum uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.changes, c.bytes, c.floor, c.at, c.sum, c.proven, c.direct = nil, 0, at, at, sum, sent, true
-	c.wake()
+	c.changes, c.bytes, c.trimmed, c.at, c.sum, c.proven, c.direct = nil, 0, at, at, sum, sent, true
+	c.notify()
 }
 
-// Begin begins anew: all was read as of a revision, which proves nothing yet.
+// Begin replaces the content after a full read at revision at that yields no freshness proof.
 func (c *Cache) Begin(at uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.changes, c.bytes, c.floor, c.at, c.sum, c.direct = nil, 0, at, at, 0, false
+	c.changes, c.bytes, c.trimmed, c.at, c.sum, c.direct = nil, 0, at, at, 0, false
 }
 
-// At returns the revision up to which all is known.
+// At returns the revision up to which all changes are known.
 func (c *Cache) At() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.at
 }
 
-// Add notes the changes of a page, which was certainly all at a time, and the sum of the copy with
-// them; direct is set when the store itself said so.
+// Add records a page of changes that was complete at time proven, and the checksum of the replica
+// that includes them. direct is set when the page comes from the store itself.
 func (c *Cache) Add(page kv.Page, proven time.Time, direct bool, sum uint64) {
 	c.add(page, proven, direct, false, sum)
 }
 
-// AddFound notes the changes that a reading of all has found in place of a watch, by a question that
-// was sent at a time.
+// AddFound records changes found by a full read, requested at time sent, instead of by a watch.
 func (c *Cache) AddFound(page kv.Page, sent time.Time, sum uint64) {
 	c.add(page, sent, true, true, sum)
 }
 
-// add notes a page. Found is set for changes that no watch told of.
+// add records a page. found is set for changes that no watch delivered.
 func (c *Cache) add(page kv.Page, proven time.Time, direct, found bool, sum uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,18 +156,18 @@
 		c.bytes += size(p)
 	}
 	drop := 0
-	for ; c.bytes > maxKept && now.Sub(c.changes[drop].at) > keptFor; drop++ {
+	for ; c.bytes > maxBytes && now.Sub(c.changes[drop].at) > minRetention; drop++ {
 		dropped := c.changes[drop]
 		c.bytes -= size(dropped.Pair)
-		c.floor = max(c.floor, dropped.Revision)
+		c.trimmed = max(c.trimmed, dropped.Revision)
 	}
-	if drop > 0 { // so that what is dropped is freed
+	if drop > 0 { // release the memory of the dropped changes
 		c.changes = append([]change(nil), c.changes[drop:]...)
 	}
-	c.wake()
+	c.notify()
 }
 
-// supersede drops the changes of keys that newer ones tell all of; c.mu is held.
+// supersede drops the older changes of keys in newer; c.mu is held.
 func (c *Cache) supersede(newer []kv.Pair) {
 	if len(newer) == 0 {
 		return
@@ -180,7 +185,6 @@
 	})
 }
 
-// now reads the clock of proofs.
 func (c *Cache) now() time.Time {
 	if c.Now == nil {
 		return time.Now()
@@ -188,35 +192,35 @@
 	return c.Now()
 }
 
-// Fail notes that the store gave no answer: others are to ask elsewhere.
+// Fail records that the store did not answer; other gateways must query another source.
 func (c *Cache) Fail() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.direct = false
-	c.wake()
+	c.notify()
 }
 
-// size returns the bytes that a pair takes.
+// size returns the bytes that a pair takes in the cache.
 func size(p kv.Pair) int {
 	return len(p.Key) + len(p.Value) + pairOverhead
 }
 
-// wake tells those that wait that something has changed; c.mu is held.
-func (c *Cache) wake() {
+// notify wakes the waiting requests; c.mu is held.
+func (c *Cache) notify() {
 	if c.changed != nil {
 		close(c.changed)
 		c.changed = nil
 	}
 }
 
-// Ask answers a question, at once when there are changes or a newer proof, and otherwise
-// with the next one.
+// Ask answers a request: at once if there are changes or a sufficiently newer proof, otherwise as
+// soon as there are.
 func (c *Cache) Ask(ctx context.Context, q Question) (Answer, error) {
-	begun := c.now()
+	start := c.now()
 	timer := time.NewTimer(q.Wait)
 	defer timer.Stop()
 	for {
-		answer, next, err := c.look(q, begun)
+		answer, next, err := c.tryAnswer(q, start)
 		if err != nil || next == nil {
 			return answer, err
 		}
@@ -230,18 +234,18 @@
 	}
 }
 
-// look returns the answer to a question that came at begun, or a channel that is closed
-// when another look is due.
-func (c *Cache) look(q Question, begun time.Time) (Answer, <-chan struct{}, error) {
+// tryAnswer returns the answer to a request received at start. If there is none yet, it returns a
+// channel that is closed when the caller should try again.
+func (c *Cache) tryAnswer(q Question, start time.Time) (Answer, <-chan struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	held := now.Sub(begun)
+	held := now.Sub(start)
 	age := now.Sub(c.proven)
 	switch {
 	case !c.direct:
 		return Answer{}, nil, ErrIndirect
-	case q.After < c.floor:
+	case q.After < c.trimmed:
 		return Answer{}, nil, ErrForgotten
 	case q.After >= c.at && age+minGain > q.Age+held:
 		if c.changed == nil {
--- a/state/watchcache/feed.go
+++ b/state/watchcache/feed.go
@@ -13,92 +13,99 @@
 	"github.com/grademill/grademill/port/kv"
 )
 
-// The figures of asking other gateways.
+// Timing of requests to other gateways and to the store.
 const (
-	// shortestWait is how long another gateway is given for a newer proof, however old
-	// this one's is: a way and back.
-	shortestWait = 100 * time.Millisecond
-	// storeRest is the least time between two calls of the store by a gateway that
-	// asks others, while none of them has an answer: a store that is away or has just
-	// come back is not to meet the whole fleet, and those that others ask go on asking
-	// it. As much again at most, drawn anew each time, is added.
-	storeRest = 2 * time.Second
-	// compareRest is the least time between two readings of all because another gateway's replica
-	// differs: it may be that one which lacks something. As much again at most is added.
-	compareRest = 10 * time.Second
-	// firstResort is how long one that has no proof yet leaves the store to those that it has heard: they
-	// may have started with it.
-	firstResort = time.Second
-	// lastResort is by how much a proof must be late for a gateway to ask the store though it has heard
-	// those that are there for that, and resortRest the least time between two such calls: the gateways
-	// of a hall may differ on who they are. As much again at most is added.
-	lastResort = 500 * time.Millisecond
-	resortRest = 10 * time.Second
-	// overdue is how much later than after its wait the store is asked anew, since its answer does not
-	// come: a store that forgets its history leaves questions that wait without one, and a slow one
-	// takes less.
-	overdue = 250 * time.Millisecond
-	// anewWait bounds that second question: a store that forgets its history may leave it without an
-	// answer, too, and all is read then.
-	anewWait = 300 * time.Millisecond
-	// cutFor is how long after a failed call of the store a gateway leaves asking it to
+	// minPeerWait is the least time that another gateway gets to provide a newer proof, whatever
+	// the age of this gateway's proof: one network round trip.
+	minPeerWait = 100 * time.Millisecond
+	// fallbackInterval is the least time between two calls to the store while none of the gateways
+	// to query has an answer, so that a store that is unavailable or has just recovered does not
+	// receive requests of the whole fleet; the gateways that query it directly continue to do so.
+	// A random extra of up to the same length is added each time.
+	fallbackInterval = 2 * time.Second
+	// compareInterval is the least time between two full reads caused by a difference to another
+	// gateway's replica: the other replica may be the incomplete one. A random extra of up to the
+	// same length is added.
+	compareInterval = 10 * time.Second
+	// initialFallbackDelay is how long a gateway without any proof leaves the store to the
+	// gateways that answered it, since they may have started at the same time.
+	initialFallbackDelay = time.Second
+	// staleFallbackAfter is how overdue a proof must be for a gateway to query the store although
+	// the gateways meant to do so answer it; staleFallbackInterval is the least time between two
+	// such calls. The gateways of a hall may disagree on which of them query the store. A random
+	// extra of up to the same length is added to the interval.
+	staleFallbackAfter = 500 * time.Millisecond
+	staleFallbackInterval = 10 * time.Second
+	// overdueAfter is how long after the end of its wait a request to the store counts as overdueAfter
+	// and is repeated. A store that compacts its history leaves waiting requests unanswered; a
+	// slow one takes less time than this.
+	overdueAfter = 250 * time.Millisecond
+	// overdueRetryTimeout bounds the repeated request, which a store that compacts its history may
+	// leave unanswered as well. After it, everything is read again.
+	overdueRetryTimeout = 300 * time.Millisecond
+	// failureWindow is how long after a failed call to the store a gateway leaves querying it to
 	// others.
-	cutFor = 5 * time.Second
+	failureWindow = 5 * time.Second
 )
 
-// Source asks another gateway.
+// Source queries another gateway.
 type Source interface {
 	Ask(ctx context.Context, address string, q Question) (Answer, error)
 }
 
-// Feed is a kv.Feed that asks other gateways where it can, and the store otherwise. A watch of the
-// store may pass a change over; a reading of all finds it, and whoever asks this gateway is told it
-// late, whatever revision it knows. Set the exported fields before the first call; calls are made by
-// one goroutine.
+// Feed is a kv.Feed that queries other gateways where possible, and the store otherwise.
+//
+// A watch of the store may miss a change. A full read finds it, and gateways that query this one
+// then receive it late, whatever revision they already know.
+//
+// Set the exported fields before the first call. Calls must come from a single goroutine.
 type Feed struct {
-	// Store is the store, Source asks other gateways.
+	// Store is the store, Source queries other gateways.
 	Store  kv.Feed
 	Source Source
-	// Sources returns the addresses of the gateways to ask, in turn; none when this one is
-	// to ask the store. With standby it is to do so when none of them has an answer.
+	// Sources returns the addresses of the gateways to query, in order; none if this gateway
+	// queries the store itself. If standby is set, it also queries the store when none of them has
+	// an answer.
 	Sources func() (addresses []string, standby bool)
-	// Age returns the age of this gateway's proof, and LateIn how long it takes until that
-	// is late: so long another gateway may take to answer.
+	// Age returns the age of this gateway's freshness proof. LateIn returns the time until the
+	// proof is overdue, which bounds the wait for another gateway's answer.
 	Age, LateIn func() time.Duration
-	// Cache is what others may ask of this gateway.
+	// Cache holds what other gateways may request from this one.
 	Cache *Cache
 	Log   zerolog.Logger
 
-	// failed is when the store last gave no answer, in nanoseconds of Unix time.
+	// failed is when a call to the store last failed, in nanoseconds of Unix time.
 	failed atomic.Int64
-	// next is when the store may next be asked although others are there for that, and resort the
-	// same where these have been heard.
-	next, resort time.Time
-	// replica is what is known, scan the reading of all that is under way.
+	// nextFallback is the earliest time of the nextFallback call to the store when no other gateway
+	// answers, nextStaleFallback the same when they answer without a newer proof.
+	nextFallback, nextStaleFallback time.Time
+	// replica holds the known revisions, scan the full read in progress.
 	replica replica
 	scan    scan
-	// compared is when a difference to another gateway's replica last had all read anew.
+	// compared is when a difference to another gateway's replica last caused a full read, plus the
+	// random extra.
 	compared time.Time
-	// silent are the gateways that have lately not been heard when they were asked.
+	// silent are the gateways that recently did not answer.
 	silent silent
-	// proven is set once changes have proven the replica.
+	// proven is set once a page of changes has proven the replica current.
 	proven bool
-	// source is whom the last answer came from, empty for the store.
+	// source is the address that the last answer came from, empty for the store.
 	source string
-	// waiting ends the question that waits at the store, nil while none does; refreshed is set
-	// when the next one is not to wait.
+	// waiting cancels the request that waits at the store, nil if there is none. refreshed is set
+	// if the next request must not wait.
 	waiting   atomic.Pointer[context.CancelCauseFunc]
 	refreshed atomic.Bool
 }
 
-// errRefreshed ends a question that waits at the store, since the answer is wanted at once.
-var errRefreshed = errors.New("whether the store answers is wanted at once")
+// errRefreshed cancels a request that waits at the store because the caller needs a new one
+// without wait.
+var errRefreshed = errors.New("request to the store repeated without a wait")
 
-// errOverdue ends a question that waits at the store and should have been answered.
-var errOverdue = errors.New("the store should have answered")
+// errOverdue cancels a request that waits at the store and whose answer is overdue.
+var errOverdue = errors.New("answer of the store is overdue")
 
-// Refresh has the question that waits at the store asked again without a wait, or the next one if
-// none waits: the next proof, or the failure, is there as soon as the store answers.
+// Refresh repeats the request that waits at the store without a wait; if none waits, the next one
+// does not wait. The next proof, or the failure, then arrives as soon as the store answers.
 func (f *Feed) Refresh() {
 	f.refreshed.Store(true)
 	if end := f.waiting.Swap(nil); end != nil {
@@ -108,10 +115,10 @@
 
 var _ kv.Feed = (*Feed)(nil)
 
-// Cut reports whether the store has given this gateway no answer lately, so that others
-// are to ask it.
+// Cut reports whether a call of this gateway to the store failed recently, so that other gateways
+// should query the store instead.
 func (f *Feed) Cut(now time.Time) bool {
-	return now.UnixNano()-f.failed.Load() < int64(cutFor)
+	return now.UnixNano()-f.failed.Load() < int64(failureWindow)
 }
 
 // Scan implements kv.Feed.
@@ -132,33 +139,33 @@
 	return f.scannedPage(page, err)
 }
 
-// scannedPage notes what the store has answered to a question for a page.
+// scannedPage records the store's answer to a request for a page.
 func (f *Feed) scannedPage(page kv.Page, err error) (kv.Page, error) {
 	f.note(err)
 	if err != nil {
 		return page, err
 	}
-	f.scan.take(page)
+	f.scan.addPage(page)
 	if !page.More || len(page.Pairs) == 0 {
-		f.scanned()
+		f.finishScan()
 	}
 	return page, nil
 }
 
-// scan is a reading of all, page by page.
+// scan is a full read, page by page.
 type scan struct {
 	sent time.Time
-	// stale is set when the first page may be older than the question for it.
+	// stale is set if the first page may be older than the request for it.
 	stale bool
-	// first is the revision of the first page, at the lowest one of a page.
+	// first is the revision of the first page, at the lowest revision of any page.
 	first, at uint64
 	pairs     []kv.Pair
 	seen      replica
 }
 
-// take takes a page in.
-func (s *scan) take(page kv.Page) {
-	if !s.seen.read() {
+// addPage adds a page to the read.
+func (s *scan) addPage(page kv.Page) {
+	if !s.seen.loaded() {
 		s.first, s.at = page.At, page.At
 		s.seen.revisions = make(map[string]uint64)
 	}
@@ -169,14 +176,14 @@
 	s.pairs = append(s.pairs, page.Pairs...)
 }
 
-// scanned notes that all has been read. Who asks this gateway is told what differs from
-// what had been known before, and need not read all again.
-func (f *Feed) scanned() {
+// finishScan records a completed full read. Gateways that query this one receive the differences
+// to the previously known state, and need not read everything again.
+func (f *Feed) finishScan() {
 	sum := f.scan.seen.sumAt(f.scan.at)
 	switch {
-	case f.scan.stale || f.scan.at < f.scan.first: // it proves nothing yet
+	case f.scan.stale || f.scan.at < f.scan.first: // yields no freshness proof
 		f.Cache.Begin(f.scan.at)
-	case !f.replica.read():
+	case !f.replica.loaded():
 		f.Cache.Reset(f.scan.at, f.scan.sent, sum)
 	default:
 		page := kv.Page{Pairs: f.scan.differences(f.replica.revisions), At: f.scan.at}
@@ -186,8 +193,8 @@
 	f.scan = scan{}
 }
 
-// differences returns what has changed since some keys had some revisions. A revision up to which
-// all seemed to be known does not do: a watch may have passed changes over.
+// differences returns the changes relative to the known revisions of keys. It does not filter by
+// the revision up to which all changes seemed to be known, because a watch may have missed some.
 func (s *scan) differences(known map[string]uint64) []kv.Pair {
 	var list []kv.Pair
 	for _, p := range s.pairs {
@@ -207,113 +214,116 @@
 func (f *Feed) Changes(ctx context.Context, prefix string, revision uint64, wait time.Duration) (kv.Page, error) {
 	addresses, standby := f.Sources()
 	if len(addresses) == 0 {
-		return f.ask(ctx, prefix, revision, wait)
+		return f.askStore(ctx, prefix, revision, wait)
 	}
 	sent := f.Cache.now()
 	var last error
-	alive, forgotten := false, false
+	answered, forgotten := false, false
 	for _, address := range f.silent.last(addresses, time.Now()) {
 		q := Question{After: revision, Age: f.Age()}
 		if wait > 0 {
-			q.Wait = max(f.LateIn(), shortestWait)
+			q.Wait = max(f.LateIn(), minPeerWait)
 		}
 		answer, err := f.Source.Ask(ctx, address, q)
 		if err == nil {
-			f.use(address, nil)
-			return f.relayed(address, answer, revision, sent)
+			f.logSource(address, nil)
+			return f.applyRelayed(address, answer, revision, sent)
 		}
 		if ctx.Err() != nil {
 			return kv.Page{}, err
 		}
 		if errors.Is(err, ErrRefused) {
-			alive = true
+			answered = true
 		} else {
 			f.silent.note(address, time.Now())
 		}
 		last, forgotten = err, forgotten || errors.Is(err, ErrForgotten)
 	}
-	if forgotten { // the store keeps more, and reading all again takes several calls
-		return f.ask(ctx, prefix, revision, 0)
+	if forgotten { // the store retains more history, and a full read takes several calls
+		return f.askStore(ctx, prefix, revision, 0)
 	}
-	if !f.mayAsk(alive && !standby, time.Now()) {
+	if !f.mayAskStore(answered && !standby, time.Now()) {
 		return kv.Page{}, trace.Wrap(&kv.UnaskedError{Err: last})
 	}
-	f.use("", last)
-	return f.ask(ctx, prefix, revision, 0)
+	f.logSource("", last)
+	return f.askStore(ctx, prefix, revision, 0)
 }
 
-// mayAsk reports whether this gateway is to ask the store at now though others are there for that. Where
-// these have been heard, it is left to them until this one's proof is old.
-func (f *Feed) mayAsk(left bool, now time.Time) bool {
-	next, rest := &f.next, storeRest
+// mayAskStore reports whether this gateway may query the store at now although other gateways are
+// meant to do so. If left is set, those answered, and the store is left to them until this
+// gateway's proof is old.
+func (f *Feed) mayAskStore(left bool, now time.Time) bool {
+	next, interval := &f.nextFallback, fallbackInterval
 	if left {
-		if f.LateIn() > -lastResort {
+		if f.LateIn() > -staleFallbackAfter {
 			return false
 		}
-		if !f.proven && f.resort.IsZero() {
-			f.resort = now.Add(firstResort)
+		if !f.proven && f.nextStaleFallback.IsZero() {
+			f.nextStaleFallback = now.Add(initialFallbackDelay)
 		}
-		next, rest = &f.resort, resortRest
+		next, interval = &f.nextStaleFallback, staleFallbackInterval
 	}
 	if now.Before(*next) {
 		return false
 	}
-	*next = now.Add(rest + time.Duration(rand.Float64()*float64(rest)))
+	*next = now.Add(interval + time.Duration(rand.Float64()*float64(interval)))
 	return true
 }
 
-// relayed returns the page of another gateway's answer to a question for the changes after a
-// revision that was sent at a time. Where the replicas differ that this gateway and the other one
-// have of the same revision, one of them lacks a change, and all is read anew.
-func (f *Feed) relayed(address string, a Answer, revision uint64, sent time.Time) (kv.Page, error) {
+// applyRelayed returns the page of another gateway's answer to a request for the changes after
+// revision, sent at time sent. If the replicas of both gateways differ at the same revision, one
+// of them lacks a change, and it returns a CompactedError to cause a full read.
+func (f *Feed) applyRelayed(address string, a Answer, revision uint64, sent time.Time) (kv.Page, error) {
 	page := kv.Page{Pairs: a.Pairs, At: a.At, Lag: a.Age - a.Held, Paced: true}
-	page, sum := f.learn(page, sent.Add(-page.Lag), false, revision)
-	if a.Sum == 0 || sum == 0 || a.Sum == sum || revision > a.At || time.Since(f.compared) < compareRest {
+	page, sum := f.apply(page, sent.Add(-page.Lag), false, revision)
+	if a.Sum == 0 || sum == 0 || a.Sum == sum || revision > a.At || time.Since(f.compared) < compareInterval {
 		return page, nil
 	}
-	f.compared = time.Now().Add(time.Duration(rand.Float64() * float64(compareRest)))
+	f.compared = time.Now().Add(time.Duration(rand.Float64() * float64(compareInterval)))
 	f.Log.Warn().Str("address", address).Uint64("revision", a.At).Int("keys", len(f.replica.revisions)).
 		Msg("another gateway holds something else of the store at the same revision, reading all again")
 	return kv.Page{}, trace.Wrap(&kv.CompactedError{Revision: a.At})
 }
 
-// ask asks the store itself.
-func (f *Feed) ask(ctx context.Context, prefix string, revision uint64, wait time.Duration) (kv.Page, error) {
+// askStore queries the store itself.
+func (f *Feed) askStore(ctx context.Context, prefix string, revision uint64, wait time.Duration) (kv.Page, error) {
 	sent := f.Cache.now()
 	page, err := f.wait(ctx, prefix, revision, wait)
 	late := errors.Is(err, errOverdue)
 	if late || errors.Is(err, errRefreshed) {
-		again := f.Cache.now()
-		page, err = f.anew(ctx, prefix, revision, late)
-		page.Lag = sent.Sub(again) // it proves more than the question that waited
-		sent = again
+		resent := f.Cache.now()
+		page, err = f.askAgain(ctx, prefix, revision, late)
+		page.Lag = sent.Sub(resent) // negative: the proof is newer than the request that waited
+		sent = resent
 	}
 	f.note(err)
 	if err == nil {
-		page, _ = f.learn(page, sent, true, revision)
+		page, _ = f.apply(page, sent, true, revision)
 	}
 	return page, err
 }
 
-// learn takes a page of the changes after a revision into the replica and the cache, and returns it
-// with what is news alone, and the sum of the replica. A reading of all holds changes beyond its
-// revision, which are no news and belong into the cache all the same: who asks may lack them.
-func (f *Feed) learn(page kv.Page, proven time.Time, direct bool, revision uint64) (kv.Page, uint64) {
+// apply applies a page of the changes after a revision to the replica and the cache. It returns
+// the page reduced to new changes, and the checksum of the replica. A full read contains changes
+// beyond its revision. They are not new to this gateway, but are added to the cache because
+// requesters may lack them.
+func (f *Feed) apply(page kv.Page, proven time.Time, direct bool, revision uint64) (kv.Page, uint64) {
 	all := page
-	page.Pairs, all.Pairs = f.replica.learn(page.Pairs, f.Cache.At())
+	page.Pairs, all.Pairs = f.replica.apply(page.Pairs, f.Cache.At())
 	sum := f.replica.sumAt(max(revision, page.At))
 	f.Cache.Add(all, proven, direct, sum)
 	f.proven = true
 	return page, sum
 }
 
-// anew asks the store without a wait. Where a question is overdue already and this one has no answer
-// either, it returns a CompactedError, so that all is read.
-func (f *Feed) anew(ctx context.Context, prefix string, revision uint64, late bool) (kv.Page, error) {
+// askAgain queries the store without a wait. If late is set, the previous request was already
+// overdue; if this one gets no answer either, it returns a CompactedError, so that everything is
+// read again.
+func (f *Feed) askAgain(ctx context.Context, prefix string, revision uint64, late bool) (kv.Page, error) {
 	if !late {
 		return f.Store.Changes(ctx, prefix, revision, 0)
 	}
-	bounded, end := context.WithTimeout(ctx, anewWait)
+	bounded, end := context.WithTimeout(ctx, overdueRetryTimeout)
 	defer end()
 	page, err := f.Store.Changes(bounded, prefix, revision, 0)
 	if err != nil && bounded.Err() != nil && ctx.Err() == nil {
@@ -324,7 +334,8 @@
 	return page, err
 }
 
-// wait asks the store, and returns errRefreshed when that was refreshed, errOverdue when the answer is.
+// wait queries the store with a wait. It returns errRefreshed if Refresh interrupted the request,
+// and errOverdue if the answer is overdue.
 func (f *Feed) wait(ctx context.Context, prefix string, revision uint64, wait time.Duration) (kv.Page, error) {
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
@@ -334,7 +345,7 @@
 		wait = 0
 	}
 	if wait > 0 {
-		late := time.AfterFunc(wait+overdue, func() { end(errOverdue) })
+		late := time.AfterFunc(wait+overdueAfter, func() { end(errOverdue) })
 		defer late.Stop()
 	}
 	page, err := f.Store.Changes(ctx, prefix, revision, wait)
@@ -345,7 +356,7 @@
 	return page, err
 }
 
-// note notes whether the store has answered: one that has forgotten its history has.
+// note records whether the store answered; a CompactedError is an answer.
 func (f *Feed) note(err error) {
 	var compacted *kv.CompactedError
 	if err == nil || errors.As(err, &compacted) {
@@ -356,12 +367,12 @@
 	f.Cache.Fail()
 }
 
-// use logs whom changes come from when that is another one than before.
-func (f *Feed) use(source string, why error) {
+// logSource logs a change of the source of changes.
+func (f *Feed) logSource(source string, why error) {
 	if source == f.source {
 		return
 	}
 	f.source = source
 	f.Log.Info().Str("address", source).Dur("proof_age_ms", f.Age()).AnErr("error", why).
-		Msg("changes of the store come from another gateway, or with no address from the store")
+		Msg("source of store changes switched; without an address it is the store itself")
 }
--- a/state/watchcache/feed_test.go
+++ b/state/watchcache/feed_test.go
@@ -38,7 +38,7 @@
 	return s.changes, s.err
 }
 
-// newFeed returns a feed over a store whose questions go to seats.
+// newFeed returns a feed over a store that queries the gateways at the given addresses.
 func newFeed(s kv.Feed, from watchcache.Source, seats ...string) *watchcache.Feed {
 	return &watchcache.Feed{
 		Store: s, Source: from, Cache: new(watchcache.Cache), Log: zerolog.Nop(),
@@ -47,15 +47,15 @@
 	}
 }
 
-// asks answers from a cache, whatever the address.
+// asks is a Source that answers from a cache, whatever the address.
 type asks struct{ cache *watchcache.Cache }
 
 func (a asks) Ask(ctx context.Context, _ string, q watchcache.Question) (watchcache.Answer, error) {
 	return a.cache.Ask(ctx, q)
 }
 
-// When the store has forgotten its history, those that ask another gateway go on without
-// reading all again: it tells them what differs.
+// When the store has compacted its history, a gateway that queries another one continues without a
+// full read: the other one sends the differences.
 func TestForgottenHistoryIsBridged(t *testing.T) {
 	s := &scripted{scan: kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 1}, {Key: "b", Revision: 2}}, At: 2}}
 	seat := newFeed(s, nil)
@@ -75,8 +75,8 @@
 	require.Zero(t, other.scans+other.asked)
 }
 
-// What another gateway no longer keeps is asked of the store at once, and read as a whole only when the
-// store has forgotten it, too.
+// Changes that another gateway no longer retains are requested from the store at once. A full read
+// follows only if the store has compacted them as well.
 func TestOlderRevisionsAreAskedOfTheStore(t *testing.T) {
 	var cache watchcache.Cache
 	cache.Reset(100, time.Now(), 0)
@@ -96,7 +96,7 @@
 	require.Zero(t, s.scans)
 }
 
-// While neither the gateways to ask nor the store answer, the store is asked seldom.
+// While neither the other gateways nor the store answer, calls to the store stay rare.
 func TestStoreIsAskedSeldomByMany(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &scripted{err: errLost}
@@ -106,7 +106,7 @@
 			_, err := feed.Changes(t.Context(), "", 5, time.Second)
 			require.Error(t, err)
 			var unasked *kv.UnaskedError
-			require.Equal(t, s.asked == before, errors.As(err, &unasked), "the error says whether the store was asked")
+			require.Equal(t, s.asked == before, errors.As(err, &unasked), "the error reports whether the store was called")
 			time.Sleep(300 * time.Millisecond)
 		}
 		require.GreaterOrEqual(t, s.asked, 4)
@@ -115,8 +115,8 @@
 	})
 }
 
-// Where the first gateway to ask is not there, the second one has the time to answer with
-// its next proof.
+// If the first gateway does not answer, the second one still has enough time to answer with its
+// next proof.
 func TestSecondSeatHasTimeToAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var cache watchcache.Cache
@@ -135,20 +135,20 @@
 	})
 }
 
-// A proof ages by the clock that goes on while the host is suspended, also for those that ask
-// this gateway.
+// A proof ages by the clock that continues while the host is suspended, also in answers to other
+// gateways.
 func TestProofAgesWhileTheHostIsSuspended(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	cache := watchcache.Cache{Now: func() time.Time { return now }}
 	cache.Reset(5, now, 0)
-	now = now.Add(10 * time.Second) // nothing has run meanwhile
+	now = now.Add(10 * time.Second) // no code ran in between
 	answer, err := cache.Ask(t.Context(), watchcache.Question{After: 5, Age: time.Minute, Wait: time.Second})
 	require.NoError(t, err)
 	require.Equal(t, 10*time.Second, answer.Age)
 }
 
-// patient is a store with no changes that answers when the wait of a question is over.
+// patient is a store without changes that answers at the end of the wait.
 type patient struct{ scripted }
 
 func (p *patient) Changes(ctx context.Context, prefix string, revision uint64, wait time.Duration) (kv.Page, error) {
@@ -160,13 +160,13 @@
 	return p.scripted.Changes(ctx, prefix, revision, wait)
 }
 
-// A question that waits is asked again at once when it is refreshed: its proof is as young as the
-// second one, and it counts as no failure of the store.
+// Refresh repeats a waiting request at once: the proof is as new as the second request, and the
+// interruption does not count as a failure of the store.
 func TestHurriedQuestionIsAskedAgainAtOnce(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFeed(&patient{}, nil)
-		feed.Refresh() // the next question does not wait then
+		feed.Refresh() // the next request does not wait
 		begun := time.Now()
 		_, err := feed.Changes(t.Context(), "", 5, time.Second)
 		require.NoError(t, err)
@@ -182,11 +182,11 @@
 		require.False(t, feed.Cut(time.Now()))
 		answer, err := feed.Cache.Ask(t.Context(), watchcache.Question{Age: time.Minute})
 		require.NoError(t, err)
-		require.Zero(t, answer.Age, "the proof is that of the second question")
+		require.Zero(t, answer.Age, "the proof belongs to the second request")
 	})
 }
 
-// halfDead is a Source where the gateway named dead does not answer.
+// halfDead is a Source in which the gateway "dead" does not answer.
 type halfDead struct{ asks }
 
 func (h halfDead) Ask(ctx context.Context, address string, q watchcache.Question) (watchcache.Answer, error) {
@@ -196,8 +196,8 @@
 	return h.asks.Ask(ctx, address, q)
 }
 
-// A watch may miss a change and still answer with a revision beyond it; those who ask this gateway must get it
-// once it has been found.
+// A watch may miss a change and still answer with a later revision. Gateways that query this one
+// must receive the change once a full read has found it.
 func TestChangeMissedByAWatchIsNotRelayed(t *testing.T) {
 	for name, at := range map[string]uint64{"at a later revision": 9, "at the same revision": 8} {
 		t.Run(name, func(t *testing.T) {
@@ -223,8 +223,8 @@
 	}
 }
 
-// A gateway that has read all by stale pages asks others what has changed since, and the store itself
-// where these no longer know.
+// After a full read of stale pages, a gateway requests the changes since then from other gateways,
+// and from the store only if these no longer retain them.
 func TestStaleReadingIsBroughtUpToDateByOthers(t *testing.T) {
 	stale := &scripted{scan: kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 9}}, At: 9, More: true}}
 	var seat watchcache.Cache
@@ -237,7 +237,7 @@
 	_, err = feed.ScanStale(t.Context(), "", "a")
 	require.NoError(t, err)
 	_, err = feed.Cache.Ask(t.Context(), watchcache.Question{Age: time.Minute})
-	require.ErrorIs(t, err, watchcache.ErrIndirect, "the pages prove nothing")
+	require.ErrorIs(t, err, watchcache.ErrIndirect, "stale pages yield no proof")
 
 	page, err := feed.Changes(t.Context(), "", 5, 0)
 	require.NoError(t, err)
@@ -261,14 +261,15 @@
 	require.Equal(t, []kv.Pair{{Key: "b", Revision: 7}}, page.Pairs)
 	require.Equal(t, 1, s.asked)
 
-	// Others are told of the changes that the pages held beyond the revision of the reading, too.
+	// Other gateways also receive the changes that the pages contained beyond the revision of the
+	// read.
 	answer, err := feed.Cache.Ask(t.Context(), watchcache.Question{After: 5, Age: time.Minute})
 	require.NoError(t, err)
 	require.Len(t, answer.Pairs, 2)
 }
 
-// What changes within a second when a large fleet starts is more than the bound in bytes, and is kept for
-// others all the same: before, each of them read the whole store anew.
+// The changes within the first second of a large fleet exceed the bound in bytes and are retained
+// all the same. Otherwise every gateway reads the whole store again.
 func TestStartOfALargeFleetIsKeptForOthers(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
@@ -286,10 +287,10 @@
 	now = now.Add(10 * time.Second)
 	cache.Add(kv.Page{Pairs: []kv.Pair{{Key: "another", Revision: 1001}}, At: 1001}, now, true, 0)
 	_, err = cache.Ask(t.Context(), watchcache.Question{Age: time.Minute})
-	require.ErrorIs(t, err, watchcache.ErrForgotten, "what nobody needs any more is bounded in bytes")
+	require.ErrorIs(t, err, watchcache.ErrForgotten, "older changes are bounded in bytes")
 }
 
-// Of a key that is written again and again the newest value alone is kept, and told.
+// Only the newest value of a frequently written key is retained and sent.
 func TestNewestChangeOfAKeyIsKept(t *testing.T) {
 	t.Parallel()
 	var cache watchcache.Cache
@@ -304,8 +305,9 @@
 	require.EqualValues(t, 20, answer.Pairs[0].Revision)
 }
 
-// A gateway that has heard those that ask the store leaves it to them, though they have no newer proof:
-// when the store forgot its history, each of 469 asked it and then read all anew.
+// A gateway whose peers answer leaves the store to them even if they have no newer proof. Without
+// this, each of 469 gateways queried a store that had compacted its history and then read
+// everything again.
 func TestStoreThatAnswersLateDoesNotMeetTheFleet(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -319,14 +321,14 @@
 
 		feed.LateIn = func() time.Duration { return -time.Second }
 		for begun := time.Now(); time.Since(begun) < 20*time.Second; time.Sleep(300 * time.Millisecond) {
-			_, _ = feed.Changes(t.Context(), "", 5, time.Second) // whether it asks is counted
+			_, _ = feed.Changes(t.Context(), "", 5, time.Second) // only the number of calls matters
 		}
-		require.GreaterOrEqual(t, s.asked, 1, "those that are heard may take others for the ones to ask")
+		require.GreaterOrEqual(t, s.asked, 1, "the gateways of a hall may disagree on which of them query the store")
 		require.LessOrEqual(t, s.asked, 2)
 	})
 }
 
-// heard is a Source that notes whom it asks; nobody answers.
+// heard is a Source that records the addresses queried and never answers.
 type heard struct{ list []string }
 
 func (h *heard) Ask(_ context.Context, address string, _ watchcache.Question) (watchcache.Answer, error) {
@@ -342,12 +344,13 @@
 	from := new(heard)
 	feed := newFeed(new(scripted), from, "dead", "seat")
 	for range 2 {
-		_, _ = feed.Changes(t.Context(), "", 5, time.Second) // whom it asks is noted
+		_, _ = feed.Changes(t.Context(), "", 5, time.Second) // only the recorded addresses matter
 	}
 	require.Equal(t, []string{"dead", "seat", "seat", "dead"}, from.list)
 }
 
-// mute is a store that never answers a question that waits, and with deaf none for changes.
+// mute is a store that never answers a request with a wait; if deaf is set, it answers no request
+// for changes.
 type mute struct {
 	scripted
 	deaf bool
@@ -361,8 +364,8 @@
 	return m.scripted.Changes(ctx, prefix, revision, wait)
 }
 
-// A question that waits is asked anew when its answer is overdue: a store that forgets its history leaves
-// it without one, and the proofs of the whole hall get old meanwhile.
+// A waiting request whose answer is overdue is repeated. A store that compacts its history leaves
+// such a request unanswered, and meanwhile the freshness proofs of the whole hall become old.
 func TestOverdueQuestionIsAskedAnew(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -375,8 +378,8 @@
 	})
 }
 
-// Where the question that is asked anew has no answer either, all is read, before the proofs of the hall
-// are old.
+// If the repeated request gets no answer either, everything is read again before the freshness
+// proofs of the hall become old.
 func TestStoreThatIsDeafToQuestionsIsReadAnew(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/state/watchcache/proof_test.go
+++ b/state/watchcache/proof_test.go
@@ -20,18 +20,18 @@
 	"github.com/grademill/grademill/state/watchcache"
 )
 
-// The figures of the schedules.
+// Parameters of the random schedules.
 const (
 	// schedules is the number of seeds.
 	schedules = 10000
-	// scheduleTime is how long each lasts, on the virtual clock.
+	// scheduleTime is the length of a schedule on the virtual clock.
 	scheduleTime = 4 * time.Second
-	// compareTime is longer than the rest between two comparisons with another process, and a
-	// reading of all after it.
+	// compareTime is longer than the interval between two comparisons with another gateway plus
+	// the full read that follows.
 	compareTime = 28 * time.Second
-	// lateStart is how much later each process starts than the one before.
+	// lateStart is the delay between the starts of two processes.
 	lateStart = 500 * time.Millisecond
-	// questionWait and settle are as in a gateway.
+	// questionWait and settle have the same values as in a gateway.
 	questionWait = 1100 * time.Millisecond
 	settle       = 600 * time.Millisecond
 )
@@ -43,19 +43,20 @@
 	revision uint64
 }
 
-// store is a store in memory that remembers when what was written.
+// store is an in-memory store that records the time of each write.
 type store struct {
 	mu      sync.Mutex
 	writes  []write
 	changed chan struct{}
 	chance  *rand.Rand
-	// deaf is set while watches miss changes though they tell of later revisions, floor is the
-	// revision up to which the history has been forgotten.
+	// deaf is set while watches miss changes although they report later revisions. floor is the
+	// revision up to which the history is compacted.
 	deaf  bool
 	floor uint64
 }
 
-// setDeaf has watches miss changes. At the end the history is forgotten, and a change follows.
+// setDeaf sets whether watches miss changes. Unsetting it compacts the history and writes one
+// change.
 func (s *store) setDeaf(deaf bool) {
 	s.mu.Lock()
 	s.deaf = deaf
@@ -68,7 +69,7 @@
 	}
 }
 
-// put writes one of a few keys.
+// put writes a random one of three keys.
 func (s *store) put() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +79,7 @@
 	s.changed = make(chan struct{})
 }
 
-// way draws how long a message is under way, or its sender or receiver is stopped.
+// delay draws the delay of a message, including pauses of its sender or receiver.
 func (s *store) way() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +89,7 @@
 	return time.Duration(s.chance.IntN(8)) * time.Millisecond
 }
 
-// rest draws the time between two writes.
+// writeInterval draws the time between two writes.
 func (s *store) rest() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +110,7 @@
 	return s.page(after, 0)
 }
 
-// staleness bounds how old a stale page is.
+// staleness bounds the age of a stale page.
 const staleness = 2 * time.Second
 
 // ScanStale implements kv.Feed.
@@ -120,7 +121,7 @@
 	return s.page(after, old)
 }
 
-// page returns the first key after another one as the store was some time ago.
+// page returns the first key after another one, as of the given time ago.
 func (s *store) page(after string, old time.Duration) (kv.Page, error) {
 	time.Sleep(s.way())
 	page := s.asOf(time.Now().Add(-old), after)
@@ -131,7 +132,7 @@
 	return page, nil
 }
 
-// asOf returns the first key after another one as the store was at a time.
+// asOf returns the first key after another one, as of a point in time.
 func (s *store) asOf(at time.Time, after string) kv.Page {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,7 +178,7 @@
 	return page, nil
 }
 
-// forgotten returns the revision up to which the history has been forgotten.
+// forgotten returns the revision up to which the history is compacted.
 func (s *store) forgotten() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,20 +205,20 @@
 	s     *store
 	feed  watchcache.Feed
 	cache watchcache.Cache
-	// held are the newest revisions of the keys; only the mirror uses it.
+	// held are the newest revisions of the keys. Only the mirror's goroutine uses it.
 	held map[string]uint64
-	// proven is the newest time by which the copy was certainly all.
+	// proven is the latest time up to which the copy was certainly complete.
 	mu     sync.Mutex
 	proven time.Time
-	// broken is the first write that a proof did not cover, empty for none.
+	// broken describes the first write that a proof did not cover, empty if there is none.
 	broken string
 	// confirms counts the proofs.
 	confirms int
-	// unhurried is set for one that begins with stale pages.
+	// unhurried is set for a process that starts with stale pages.
 	unhurried bool
 }
 
-// confirm checks a proof: what had been written by then is in the copy.
+// confirm checks a proof: the copy must contain every write before that time.
 func (p *process) confirm(proven time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -253,11 +254,11 @@
 	m.Run(ctx)
 }
 
-// source asks other processes by their names, and loses time on the way.
+// source queries other processes by name, with random delays and losses.
 type source struct {
 	s     *store
 	named map[string]*process
-	// blind leaves the ages out.
+	// blind makes answers omit the age of the proof.
 	blind bool
 }
 
@@ -275,14 +276,14 @@
 	return answer, err
 }
 
-// fleet is two processes that ask the store and two that ask these.
+// fleet consists of two processes that query the store and two that query those.
 type fleet struct {
 	store *store
 	from  source
 	all   []*process
 }
 
-// newFleet returns a fleet whose schedule a seed draws.
+// newFleet returns a fleet whose schedule depends on the seed.
 func newFleet(seed uint64) *fleet {
 	s := &store{changed: make(chan struct{}), chance: rand.New(rand.NewPCG(seed, 1))}
 	s.put()
@@ -292,7 +293,7 @@
 	return f
 }
 
-// run runs the processes until ctx ends; what it returns waits for that.
+// run starts the processes, which run until ctx ends. The returned function waits for them.
 func (f *fleet) run(ctx context.Context) (wait func()) {
 	seats := [][]string{nil, nil, {"a", "b"}, {"b", "a"}}
 	var group sync.WaitGroup
@@ -307,7 +308,7 @@
 	return group.Wait
 }
 
-// write writes to the store for a time.
+// write writes to the store for the given time.
 func (f *fleet) write(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(f.store.rest())
@@ -315,8 +316,8 @@
 	}
 }
 
-// play plays a schedule, and returns what was proven wrongly, empty for nothing, and the number of
-// proofs of those that ask others.
+// play runs a schedule. It returns a description of the first invalid proof, empty if there is
+// none, and the number of proofs of the processes that query others.
 func play(t *testing.T, seed uint64, blind bool) (broken string, confirms int) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(seed)
@@ -338,8 +339,8 @@
 	return broken, confirms
 }
 
-// A proof that comes through another process never covers what the copy does not hold,
-// whoever is stopped between a question and its answer, and whatever is lost.
+// A freshness proof relayed by another process never covers a write that the copy lacks, whichever
+// process pauses between request and answer and whichever answers are lost.
 func TestRelayedProofsHold(t *testing.T) {
 	t.Parallel()
 	confirms := 0
@@ -351,8 +352,9 @@
 	require.Greater(t, confirms, 4*schedules)
 }
 
-// The check sees proofs that leave the ages out. About half of the schedules show it; how
-// many depends on the order in which the processes draw, so that the bound is far below.
+// The check detects proofs that omit the ages. About half of the schedules show it; the exact
+// share depends on the order in which the processes draw random numbers, so the bound is far
+// below.
 func TestProofsWithoutAgesAreSeenToFail(t *testing.T) {
 	t.Parallel()
 	const blind = 1000
@@ -365,7 +367,7 @@
 	require.Greater(t, wrong, blind/4)
 }
 
-// A change that all watches have missed reaches every copy once one of them has been read anew.
+// A change missed by all watches reaches every copy once one of them has been read in full.
 func TestCopiesLackWhatAWatchMissed(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(1000) {
@@ -379,7 +381,7 @@
 				f.write(time.Second)
 				f.store.setDeaf(false)
 			}
-			time.Sleep(compareTime) // answers go on being lost
+			time.Sleep(compareTime) // answers continue to be lost
 			cancel()
 			done()
 			newest := make(map[string]uint64)
--- a/state/watchcache/replica.go
+++ b/state/watchcache/replica.go
@@ -6,22 +6,22 @@
 	"github.com/grademill/grademill/port/kv"
 )
 
-// replica is which revision of each key a process has. The zero replica is one that has not been
-// read yet.
+// replica holds the revision of each key that a process knows. The zero replica has not been
+// loaded yet.
 type replica struct {
 	revisions map[string]uint64
-	// sum is the exclusive or of the digests of all keys with their revisions, so that two replicas
-	// at the same revision of the store can be compared.
+	// sum is the exclusive or of the digests of all keys with their revisions. It allows two
+	// replicas at the same revision of the store to be compared.
 	sum uint64
-	// newest is the newest revision of a key. While a reading of all is taken in it is beyond the
-	// revision of its first page.
+	// newest is the newest revision of any key. During a full read it may exceed the revision of
+	// the first page.
 	newest uint64
 }
 
-// read reports whether all has been read.
-func (r *replica) read() bool { return r.revisions != nil }
+// loaded reports whether a full loaded has filled the replica, or is filling it.
+func (r *replica) loaded() bool { return r.revisions != nil }
 
-// put notes the revision of a key that has been written; the replica has been read, or is being read.
+// put records the revision of a written key. The replica must be loaded or being loaded.
 func (r *replica) put(key string, revision uint64) {
 	r.remove(key)
 	r.revisions[key] = revision
@@ -29,7 +29,7 @@
 	r.newest = max(r.newest, revision)
 }
 
-// remove notes that a key has gone.
+// remove records that a key was deleted.
 func (r *replica) remove(key string) {
 	if former, there := r.revisions[key]; there {
 		r.sum ^= digest(key, former)
@@ -37,26 +37,26 @@
 	}
 }
 
-// learn takes changes in. It returns those that are news, which are all until all has been read, and
-// with them those after a revision.
-func (r *replica) learn(pairs []kv.Pair, after uint64) (news, later []kv.Pair) {
-	if !r.read() {
+// apply applies changes. It returns those that are new, which are all of them before the replica
+// is loaded, and the new ones together with those after a revision.
+func (r *replica) apply(pairs []kv.Pair, after uint64) (updates, later []kv.Pair) {
+	if !r.loaded() {
 		return pairs, pairs
 	}
 	for _, p := range pairs {
-		fresh := r.take(p)
+		fresh := r.applyPair(p)
 		if fresh {
-			news = append(news, p)
+			updates = append(updates, p)
 		}
 		if fresh || p.Revision > after {
 			later = append(later, p)
 		}
 	}
-	return news, later
+	return updates, later
 }
 
-// take takes a change in, and reports whether it is news.
-func (r *replica) take(p kv.Pair) bool {
+// applyPair applies a change and reports whether it is new.
+func (r *replica) applyPair(p kv.Pair) bool {
 	known, there := r.revisions[p.Key]
 	switch {
 	case there && p.Revision <= known || p.Deleted && !there:
@@ -69,16 +69,16 @@
 	return true
 }
 
-// sumAt returns the sum of the replica as one of a revision of the store, 0 when it holds later
-// changes than that.
+// sumAt returns the checksum of the replica for a revision of the store, 0 if the replica contains
+// later changes.
 func (r *replica) sumAt(revision uint64) uint64 {
-	if !r.read() || r.newest > revision {
+	if !r.loaded() || r.newest > revision {
 		return 0
 	}
 	return r.sum
 }
 
-// digest returns that of a key with its revision.
+// digest returns the FNV-1a hash of a key with its revision.
 func digest(key string, revision uint64) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(key)) // never fails
--- a/state/watchcache/silent.go
+++ b/state/watchcache/silent.go
@@ -5,15 +5,14 @@
 	"time"
 )
 
-// silentFor is how long a gateway that was not heard is asked after the others: until digests tell of
-// its end.
+// silentFor is how long a gateway that did not answer is queried after the others. By then,
+// digests report its end.
 const silentFor = 8 * time.Second
 
-// silent are the gateways that have not been heard when they were asked, by their addresses. The zero
-// silent has none.
+// silent holds the time at which gateways failed to answer, by address. The zero silent is empty.
 type silent map[string]time.Time
 
-// note notes that a gateway was not heard at a time.
+// note records that a gateway did not answer.
 func (s *silent) note(address string, now time.Time) {
 	if *s == nil {
 		*s = make(silent)
@@ -26,7 +25,7 @@
 	(*s)[address] = now
 }
 
-// last returns addresses in their order, those that have lately not been heard last.
+// last returns addresses in their order, but moves those that recently did not answer to the end.
 func (s silent) last(addresses []string, now time.Time) []string {
 	lately := func(address string) bool {
 		at, noted := s[address]
