--- a/state/watchcache/cache.go
+++ b/state/watchcache/cache.go
@@ -25,7 +25,7 @@
 	// request of another gateway is delayed. With a bound in bytes alone, a large fleet exceeds it
 	// within a second when it starts or is configured, and every gateway reads the store again.
 	minRetention = 6 * time.Second
-	// maxBytes bounds the bytes of changes older than minRetention.
+	// maxBytes is the size beyond which changes older than minRetention are dropped.
 	maxBytes = 128 << 10
 )
 
@@ -87,7 +87,7 @@
 	// them. bytes is their size.
 	changes []change
 	bytes   int
-	trimmed   uint64
+	trimmed uint64
 	// at is the revision up to which all changes are known. sum is the checksum of the replica at
 	// that revision, 0 if unknown.
 	at  uint64
--- a/state/watchcache/feed.go
+++ b/state/watchcache/feed.go
@@ -34,7 +34,7 @@
 	// the gateways meant to do so answer it; staleFallbackInterval is the least time between two
 	// such calls. The gateways of a hall may disagree on which of them query the store. A random
 	// extra of up to the same length is added to the interval.
-	staleFallbackAfter = 500 * time.Millisecond
+	staleFallbackAfter    = 500 * time.Millisecond
 	staleFallbackInterval = 10 * time.Second
 	// overdueAfter is how long after the end of its wait a request to the store counts as overdueAfter
 	// and is repeated. A store that compacts its history leaves waiting requests unanswered; a
@@ -76,9 +76,9 @@
 
 	// failed is when a call to the store last failed, in nanoseconds of Unix time.
 	failed atomic.Int64
-	// nextFallback is the earliest time of the nextFallback call to the store when no other gateway
-	// answers, nextStaleFallback the same when they answer without a newer proof.
-	nextFallback, nextStaleFallback time.Time
+	// next is the earliest time of the next call to the store if no other gateway answers,
+	// nextStale the same if they answer without a newer proof.
+	next, nextStale time.Time
 	// replica holds the known revisions, scan the full read in progress.
 	replica replica
 	scan    scan
@@ -253,15 +253,15 @@
 // meant to do so. If left is set, those answered, and the store is left to them until this
 // gateway's proof is old.
 func (f *Feed) mayAskStore(left bool, now time.Time) bool {
-	next, interval := &f.nextFallback, fallbackInterval
+	next, interval := &f.next, fallbackInterval
 	if left {
 		if f.LateIn() > -staleFallbackAfter {
 			return false
 		}
-		if !f.proven && f.nextStaleFallback.IsZero() {
-			f.nextStaleFallback = now.Add(initialFallbackDelay)
+		if !f.proven && f.nextStale.IsZero() {
+			f.nextStale = now.Add(initialFallbackDelay)
 		}
-		next, interval = &f.nextStaleFallback, staleFallbackInterval
+		next, interval = &f.nextStale, staleFallbackInterval
 	}
 	if now.Before(*next) {
 		return false
--- a/state/watchcache/feed_test.go
+++ b/state/watchcache/feed_test.go
@@ -39,24 +39,24 @@
 }
 
 // newFeed returns a feed over a store that queries the gateways at the given addresses.
-func newFeed(s kv.Feed, from watchcache.Source, seats ...string) *watchcache.Feed {
+func newFeed(s kv.Feed, from watchcache.Source, addresses ...string) *watchcache.Feed {
 	return &watchcache.Feed{
 		Store: s, Source: from, Cache: new(watchcache.Cache), Log: zerolog.Nop(),
-		Sources: func() ([]string, bool) { return seats, true },
+		Sources: func() ([]string, bool) { return addresses, true },
 		Age:     func() time.Duration { return time.Second }, LateIn: func() time.Duration { return time.Second },
 	}
 }
 
-// asks is a Source that answers from a cache, whatever the address.
-type asks struct{ cache *watchcache.Cache }
+// cacheSource is a Source that answers from a cache, whatever the address.
+type cacheSource struct{ cache *watchcache.Cache }
 
-func (a asks) Ask(ctx context.Context, _ string, q watchcache.Question) (watchcache.Answer, error) {
+func (a cacheSource) Ask(ctx context.Context, _ string, q watchcache.Question) (watchcache.Answer, error) {
 	return a.cache.Ask(ctx, q)
 }
 
 // When the store has compacted its history, a gateway that queries another one continues without a
 // full read: the other one sends the differences.
-func TestForgottenHistoryIsBridged(t *testing.T) {
+func TestCompactedHistoryNeedsNoFullReadByOthers(t *testing.T) {
 	s := &scripted{scan: kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 1}, {Key: "b", Revision: 2}}, At: 2}}
 	seat := newFeed(s, nil)
 	_, err := seat.Scan(t.Context(), "", "")
@@ -66,7 +66,7 @@
 	require.NoError(t, err)
 
 	other := &scripted{}
-	page, err := newFeed(other, asks{seat.Cache}, "seat").Changes(t.Context(), "", 2, time.Second)
+	page, err := newFeed(other, cacheSource{seat.Cache}, "seat").Changes(t.Context(), "", 2, time.Second)
 	require.NoError(t, err)
 	require.ElementsMatch(t, []kv.Pair{
 		{Key: "b", Revision: 7}, {Key: "c", Revision: 8}, {Key: "a", Revision: 9, Deleted: true},
@@ -77,11 +77,11 @@
 
 // Changes that another gateway no longer retains are requested from the store at once. A full read
 // follows only if the store has compacted them as well.
-func TestOlderRevisionsAreAskedOfTheStore(t *testing.T) {
+func TestOlderRevisionsAreRequestedFromStore(t *testing.T) {
 	var cache watchcache.Cache
 	cache.Reset(100, time.Now(), 0)
 	s := &scripted{changes: kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 90}}, At: 101}}
-	feed := newFeed(s, asks{&cache}, "seat")
+	feed := newFeed(s, cacheSource{&cache}, "seat")
 	page, err := feed.Changes(t.Context(), "", 5, time.Second)
 	require.NoError(t, err)
 	require.Equal(t, s.changes.Pairs, page.Pairs)
@@ -97,10 +97,10 @@
 }
 
 // While neither the other gateways nor the store answer, calls to the store stay rare.
-func TestStoreIsAskedSeldomByMany(t *testing.T) {
+func TestCallsToSilentStoreAreRare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &scripted{err: errLost}
-		feed := newFeed(s, asks{new(watchcache.Cache)}, "seat")
+		feed := newFeed(s, cacheSource{new(watchcache.Cache)}, "seat")
 		for begun := time.Now(); time.Since(begun) < 20*time.Second; {
 			before := s.asked
 			_, err := feed.Changes(t.Context(), "", 5, time.Second)
@@ -117,7 +117,7 @@
 
 // If the first gateway does not answer, the second one still has enough time to answer with its
 // next proof.
-func TestSecondSeatHasTimeToAnswer(t *testing.T) {
+func TestSecondGatewayHasTimeToAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var cache watchcache.Cache
 		cache.Reset(5, time.Now(), 0)
@@ -126,7 +126,7 @@
 			cache.Add(kv.Page{At: 5}, time.Now(), true, 0)
 		}()
 		s := &scripted{}
-		feed := newFeed(s, halfDead{asks{&cache}}, "dead", "seat")
+		feed := newFeed(s, halfDead{cacheSource{&cache}}, "dead", "seat")
 		feed.Age = func() time.Duration { return 100 * time.Millisecond }
 		page, err := feed.Changes(t.Context(), "", 5, time.Second)
 		require.NoError(t, err)
@@ -162,7 +162,7 @@
 
 // Refresh repeats a waiting request at once: the proof is as new as the second request, and the
 // interruption does not count as a failure of the store.
-func TestHurriedQuestionIsAskedAgainAtOnce(t *testing.T) {
+func TestRefreshRepeatsWaitingRequest(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFeed(&patient{}, nil)
@@ -187,18 +187,18 @@
 }
 
 // halfDead is a Source in which the gateway "dead" does not answer.
-type halfDead struct{ asks }
+type halfDead struct{ cacheSource }
 
 func (h halfDead) Ask(ctx context.Context, address string, q watchcache.Question) (watchcache.Answer, error) {
 	if address == "dead" {
 		return watchcache.Answer{}, errLost
 	}
-	return h.asks.Ask(ctx, address, q)
+	return h.cacheSource.Ask(ctx, address, q)
 }
 
 // A watch may miss a change and still answer with a later revision. Gateways that query this one
 // must receive the change once a full read has found it.
-func TestChangeMissedByAWatchIsNotRelayed(t *testing.T) {
+func TestChangeMissedByWatchIsRelayedLater(t *testing.T) {
 	for name, at := range map[string]uint64{"at a later revision": 9, "at the same revision": 8} {
 		t.Run(name, func(t *testing.T) {
 			s := &scripted{scan: kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 1}, {Key: "b", Revision: 2}}, At: 2}}
@@ -208,7 +208,7 @@
 			s.changes = kv.Page{At: 8}
 			_, err = seat.Changes(t.Context(), "", 2, 0)
 			require.NoError(t, err)
-			asker := newFeed(&scripted{}, asks{seat.Cache}, "seat")
+			asker := newFeed(&scripted{}, cacheSource{seat.Cache}, "seat")
 			page, err := asker.Changes(t.Context(), "", 2, time.Second)
 			require.NoError(t, err)
 			require.EqualValues(t, 8, page.At)
@@ -225,12 +225,12 @@
 
 // After a full read of stale pages, a gateway requests the changes since then from other gateways,
 // and from the store only if these no longer retain them.
-func TestStaleReadingIsBroughtUpToDateByOthers(t *testing.T) {
+func TestOtherGatewaysCompleteStaleRead(t *testing.T) {
 	stale := &scripted{scan: kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 9}}, At: 9, More: true}}
 	var seat watchcache.Cache
 	seat.Reset(5, time.Now(), 0)
 	seat.Add(kv.Page{Pairs: []kv.Pair{{Key: "b", Revision: 7}}, At: 9}, time.Now(), true, 0)
-	feed := newFeed(stale, asks{&seat}, "seat")
+	feed := newFeed(stale, cacheSource{&seat}, "seat")
 	_, err := feed.Scan(t.Context(), "", "")
 	require.NoError(t, err)
 	stale.scan = kv.Page{Pairs: []kv.Pair{{Key: "b", Revision: 2}}, At: 5}
@@ -245,11 +245,11 @@
 	require.Zero(t, stale.asked)
 }
 
-func TestStaleReadingBeyondTheKeptChangesAsksTheStore(t *testing.T) {
+func TestStoreCompletesStaleReadBeyondRetainedChanges(t *testing.T) {
 	s := &scripted{scan: kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 9}}, At: 9, More: true}}
 	var seat watchcache.Cache
 	seat.Reset(8, time.Now(), 0)
-	feed := newFeed(s, asks{&seat}, "seat")
+	feed := newFeed(s, cacheSource{&seat}, "seat")
 	_, err := feed.Scan(t.Context(), "", "")
 	require.NoError(t, err)
 	s.scan = kv.Page{Pairs: []kv.Pair{{Key: "b", Revision: 2}}, At: 5}
@@ -270,7 +270,7 @@
 
 // The changes within the first second of a large fleet exceed the bound in bytes and are retained
 // all the same. Otherwise every gateway reads the whole store again.
-func TestStartOfALargeFleetIsKeptForOthers(t *testing.T) {
+func TestChangesOfLargeFleetStartAreRetained(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	cache := watchcache.Cache{Now: func() time.Time { return now }}
@@ -291,7 +291,7 @@
 }
 
 // Only the newest value of a frequently written key is retained and sent.
-func TestNewestChangeOfAKeyIsKept(t *testing.T) {
+func TestOnlyNewestChangeOfKeyIsRetained(t *testing.T) {
 	t.Parallel()
 	var cache watchcache.Cache
 	cache.Reset(0, time.Now(), 0)
@@ -308,11 +308,11 @@
 // A gateway whose peers answer leaves the store to them even if they have no newer proof. Without
 // this, each of 469 gateways queried a store that had compacted its history and then read
 // everything again.
-func TestStoreThatAnswersLateDoesNotMeetTheFleet(t *testing.T) {
+func TestFleetLeavesLateStoreToItsReaders(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := new(scripted)
-		feed := newFeed(s, asks{new(watchcache.Cache)}, "seat", "standby")
+		feed := newFeed(s, cacheSource{new(watchcache.Cache)}, "seat", "standby")
 		feed.Sources = func() ([]string, bool) { return []string{"seat", "standby"}, false }
 		_, err := feed.Changes(t.Context(), "", 5, time.Second)
 		var unasked *kv.UnaskedError
@@ -328,10 +328,10 @@
 	})
 }
 
-// heard is a Source that records the addresses queried and never answers.
-type heard struct{ list []string }
+// recordingSource is a Source that records the addresses queried and never answers.
+type recordingSource struct{ list []string }
 
-func (h *heard) Ask(_ context.Context, address string, _ watchcache.Question) (watchcache.Answer, error) {
+func (h *recordingSource) Ask(_ context.Context, address string, _ watchcache.Question) (watchcache.Answer, error) {
 	h.list = append(h.list, address)
 	if address == "dead" {
 		return watchcache.Answer{}, errLost
@@ -339,9 +339,9 @@
 	return watchcache.Answer{}, watchcache.ErrNoNews
 }
 
-func TestSilentGatewayIsAskedLast(t *testing.T) {
+func TestSilentGatewayIsQueriedLast(t *testing.T) {
 	t.Parallel()
-	from := new(heard)
+	from := new(recordingSource)
 	feed := newFeed(new(scripted), from, "dead", "seat")
 	for range 2 {
 		_, _ = feed.Changes(t.Context(), "", 5, time.Second) // only the recorded addresses matter
@@ -366,7 +366,7 @@
 
 // A waiting request whose answer is overdue is repeated. A store that compacts its history leaves
 // such a request unanswered, and meanwhile the freshness proofs of the whole hall become old.
-func TestOverdueQuestionIsAskedAnew(t *testing.T) {
+func TestOverdueRequestIsRepeated(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFeed(&mute{}, nil)
@@ -380,7 +380,7 @@
 
 // If the repeated request gets no answer either, everything is read again before the freshness
 // proofs of the hall become old.
-func TestStoreThatIsDeafToQuestionsIsReadAnew(t *testing.T) {
+func TestUnansweredRepeatCausesFullRead(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFeed(&mute{deaf: true}, nil)
--- a/state/watchcache/proof_test.go
+++ b/state/watchcache/proof_test.go
@@ -80,7 +80,7 @@
 }
 
 // delay draws the delay of a message, including pauses of its sender or receiver.
-func (s *store) way() time.Duration {
+func (s *store) delay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.chance.IntN(12) == 0 {
@@ -90,7 +90,7 @@
 }
 
 // writeInterval draws the time between two writes.
-func (s *store) rest() time.Duration {
+func (s *store) writeInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Duration(50+s.chance.IntN(900)) * time.Millisecond
@@ -123,9 +123,9 @@
 
 // page returns the first key after another one, as of the given time ago.
 func (s *store) page(after string, old time.Duration) (kv.Page, error) {
-	time.Sleep(s.way())
+	time.Sleep(s.delay())
 	page := s.asOf(time.Now().Add(-old), after)
-	time.Sleep(s.way())
+	time.Sleep(s.delay())
 	if s.lost() {
 		return kv.Page{}, errLost
 	}
@@ -157,7 +157,7 @@
 
 // Changes implements kv.Feed.
 func (s *store) Changes(ctx context.Context, _ string, revision uint64, wait time.Duration) (kv.Page, error) {
-	time.Sleep(s.way())
+	time.Sleep(s.delay())
 	page, next := s.since(revision)
 	if len(page.Pairs) == 0 {
 		select {
@@ -171,7 +171,7 @@
 	if revision < s.forgotten() {
 		return kv.Page{}, &kv.CompactedError{Revision: revision}
 	}
-	time.Sleep(s.way())
+	time.Sleep(s.delay())
 	if s.lost() {
 		return kv.Page{}, errLost
 	}
@@ -264,9 +264,9 @@
 
 // Ask implements watchcache.Source.
 func (s source) Ask(ctx context.Context, address string, q watchcache.Question) (watchcache.Answer, error) {
-	time.Sleep(s.s.way())
+	time.Sleep(s.s.delay())
 	answer, err := s.named[address].cache.Ask(ctx, q)
-	time.Sleep(s.s.way())
+	time.Sleep(s.s.delay())
 	if s.s.lost() {
 		return watchcache.Answer{}, errLost
 	}
@@ -295,11 +295,11 @@
 
 // run starts the processes, which run until ctx ends. The returned function waits for them.
 func (f *fleet) run(ctx context.Context) (wait func()) {
-	seats := [][]string{nil, nil, {"a", "b"}, {"b", "a"}}
+	sources := [][]string{nil, nil, {"a", "b"}, {"b", "a"}}
 	var group sync.WaitGroup
 	for i, p := range f.all {
 		p.feed.Store, p.feed.Source = f.store, f.from
-		p.feed.Sources = func() ([]string, bool) { return seats[i], i == 2 }
+		p.feed.Sources = func() ([]string, bool) { return sources[i], i == 2 }
 		group.Go(func() {
 			time.Sleep(time.Duration(i) * lateStart)
 			p.run(ctx)
@@ -311,7 +311,7 @@
 // write writes to the store for the given time.
 func (f *fleet) write(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
-		time.Sleep(f.store.rest())
+		time.Sleep(f.store.writeInterval())
 		f.store.put()
 	}
 }
@@ -341,7 +341,7 @@
 
 // A freshness proof relayed by another process never covers a write that the copy lacks, whichever
 // process pauses between request and answer and whichever answers are lost.
-func TestRelayedProofsHold(t *testing.T) {
+func TestRelayedProofsAreValid(t *testing.T) {
 	t.Parallel()
 	confirms := 0
 	for seed := range uint64(schedules) {
@@ -355,7 +355,7 @@
 // The check detects proofs that omit the ages. About half of the schedules show it; the exact
 // share depends on the order in which the processes draw random numbers, so the bound is far
 // below.
-func TestProofsWithoutAgesAreSeenToFail(t *testing.T) {
+func TestCheckDetectsProofsWithoutAges(t *testing.T) {
 	t.Parallel()
 	const blind = 1000
 	wrong := 0
@@ -368,7 +368,7 @@
 }
 
 // A change missed by all watches reaches every copy once one of them has been read in full.
-func TestCopiesLackWhatAWatchMissed(t *testing.T) {
+func TestMissedChangesReachAllCopies(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(1000) {
 		synctest.Test(t, func(t *testing.T) {
