--- a/state/mirror/mirror.go
+++ b/state/mirror/mirror.go
@@ -1,4 +1,7 @@
-// Package mirror keeps a copy of the keys under a prefix of a store current.
+// Package mirror keeps a local copy of the keys under a prefix of a store up to date.
+//
+// Set the fields of a Mirror and call Run: it reads all keys once, then follows the changes, and
+// calls back for each change and each freshness proof.
 package mirror
 
 import (
@@ -13,97 +16,97 @@
 	"github.com/grademill/grademill/port/kv"
 )
 
-// retryWait spaces out calls of a store that fails: the first retry comes soon,
-// since a lost answer is the usual cause, and the last ones often enough to be
-// back within a second of the store.
+// retryWait spaces out calls to a failing store. The first retry comes soon, since the usual cause
+// is a lost answer; the longest delay is short enough to notice the store's return within a
+// second.
 var retryWait = backoff.Backoff{Base: 60 * time.Millisecond, Max: 600 * time.Millisecond}
 
-// Mirror follows a prefix of a store. Set the exported fields before Run; its
-// functions are called from Run's goroutine alone.
+// Mirror follows a prefix of a store. Set the exported fields before Run. Run calls the functions
+// from its own goroutine only.
 type Mirror struct {
-	// Feed is the store.
+	// Feed reads the store.
 	Feed kv.Feed
 	// Prefix selects the keys, empty for all.
 	Prefix string
-	// Wait is how long one question for changes waits. It bounds the age of the
-	// last confirmation while nothing changes.
+	// Wait is how long one request for changes waits. It bounds the age of the last freshness
+	// proof while nothing changes.
 	Wait time.Duration
-	// Settle is the least time between two questions for changes, so that
-	// changes that come in quick succession are taken together.
+	// Settle is the least time between two requests for changes, so that changes in quick
+	// succession arrive together.
 	Settle time.Duration
-	// Refresh ends a rest between two questions when something is received, nil for never.
+	// Refresh ends a pause between two requests when it delivers a value, nil for never.
 	Refresh <-chan struct{}
-	// Grace is how long after an outage of the store an entry that has gone is
-	// kept: leases lapse while nobody can renew them, and their owners return.
+	// Grace is how long after an outage of the store a removed key is retained: leases expire
+	// while nobody can renew them, and their owners return.
 	Grace time.Duration
-	// Put and Gone are told of each key that was written or has gone, and of the revision at which
-	// it had.
+	// Put and Gone receive each key that was written or removed, and the revision of that change.
 	Put  func(kv.Pair)
 	Gone func(key string, revision uint64)
-	// Confirm is told, after the changes of each answer, a time by which the copy held
-	// all that had been written: when the question was sent, or what another process
-	// that answered it could prove.
+	// Confirm receives, after the changes of each answer, a time up to which the copy contains all
+	// writes: when the request was sent, or the time that another process which answered the
+	// request could prove.
 	Confirm func(proven time.Time)
-	// Partial is told the same after each page but the last of the first reading of all, while the
-	// pages prove it: what they hold had been written by then. Nil for nobody.
+	// Partial receives such a time after each page but the last of the first full read, while the
+	// pages prove it: the keys read so far include all writes before it. Nil for no calls.
 	Partial func(proven time.Time)
-	// Unhurried reports, after a stale first page of the first reading, whether nobody waits for it to be
-	// proven: all readings are of stale pages alone then until one is. Nil for never.
+	// Unhurried reports, after a stale first page of the first full read, whether no caller waits
+	// for a proof. If so, all reads use stale pages only until one is proven. Nil for never.
 	Unhurried func() bool
-	// Unproven is told of each reading of all that proves nothing yet, and of their number. It returns
-	// how long to rest, and whether to read all again after it rather than to ask for what has changed;
-	// neither is done once the reading is hurried. Nil for neither.
+	// Unproven is called after each full read that yields no freshness proof, with the number of
+	// such reads. It returns how long to pause, and whether to read everything again afterwards
+	// instead of requesting the changes since. Both results are ignored once the read is hurried.
+	// Nil for no pause and no second read.
 	Unproven func(readings int) (rest time.Duration, again bool)
-	// Now reads the clock of the times that Confirm is told, nil for time.Now. Where proofs must
-	// not seem younger than they are, it goes on while the host is suspended.
+	// Now reads the clock of the times passed to Confirm, nil for time.Now. Where proofs must not
+	// appear newer than they are, it must continue while the host is suspended.
 	Now func() time.Time
-	// Lost is told of the first failure after a success.
+	// Lost receives the first failure after a success.
 	Lost func(error)
 	Log  zerolog.Logger
 
-	// known are the revisions of the keys in the copy.
+	// known holds the revisions of the keys in the copy.
 	known map[string]uint64
-	// doubtful are keys that have gone around an outage.
-	doubtful map[string]doubt
+	// pendingRemovals holds the keys removed around an outage.
+	pendingRemovals map[string]pendingRemoval
 	// at is the revision up to which the copy is current.
 	at uint64
-	// reading is the reading of all that is under way, nil for none. It goes on where a call
-	// failed: while a whole fleet reads, the store is slow, and would be for good if each
-	// failure began it anew.
+	// reading is the full read in progress, nil if there is none. After a failed call it continues
+	// at the same page: while a whole fleet reads, the store is slow, and would stay slow if each
+	// failure restarted the read.
 	reading *reading
-	// unhurried is set while readings are of stale pages alone, and unproven counts those that proved
-	// nothing.
+	// unhurried is set while reads use stale pages only. unproven counts the reads that yielded no
+	// proof.
 	unhurried bool
 	unproven  int
-	// overdue is set after a reading whose proof is old, or that proves nothing.
+	// overdue is set after a full read whose proof is old or missing.
 	overdue bool
-	// lag and paced are those of the last page.
+	// lag and paced are the values of the last page.
 	lag   time.Duration
 	paced bool
-	// failures counts the failures in a row, unanswered those of the store itself.
+	// failures counts consecutive failures, unanswered those of the store itself.
 	failures, unanswered int
-	// lastAnswer is when the store last answered, restored when it did so again
-	// after an outage.
+	// lastAnswer is the time of the store's last answer, restored that of its first answer after
+	// an outage.
 	lastAnswer, restored time.Time
 }
 
-// doubt is a key that has gone at a revision, and counts as gone from due on.
-type doubt struct {
+// pendingRemoval is the removal of a key at a revision, which takes effect at time due.
+type pendingRemoval struct {
 	revision uint64
 	due      time.Time
 }
 
-// reading is a reading of all keys, page by page.
+// reading is a full read of all keys, page by page.
 type reading struct {
-	// begun and sent are when the first page was asked for, by the clock of package time and by
-	// that of the proofs.
+	// begun and sent are the time of the request for the first page, by package time's clock and
+	// by the clock of proofs.
 	begun, sent time.Time
-	// first is the revision of the first page, and at the lowest one of a page: what changes
-	// later is told by changes. The reading proves what had been written when it began while
-	// no page is older than the first, unless that is stale itself.
+	// first is the revision of the first page, at the lowest revision of any page; the mirror
+	// requests the changes after at. The read proves all writes before its start as long as no
+	// page is older than the first one, unless the first one is itself stale.
 	first, at uint64
 	stale     bool
-	// after is the last key that was read, and seen are all.
+	// after is the last key read, seen holds all keys read.
 	after string
 	seen  map[string]bool
 }
@@ -111,7 +114,7 @@
 // Run follows the prefix until ctx ends.
 func (m *Mirror) Run(ctx context.Context) {
 	m.known = make(map[string]uint64)
-	m.doubtful = make(map[string]doubt)
+	m.pendingRemovals = make(map[string]pendingRemoval)
 	if m.Now == nil {
 		m.Now = time.Now
 	}
@@ -130,7 +133,7 @@
 			m.Log.Info().Uint64("revision", m.at).Msg("the store forgot its history, reading all again")
 			loaded, first, m.unhurried = false, false, false
 		case err != nil:
-			m.failed(ctx, err)
+			m.recordFailure(ctx, err)
 		default:
 			loaded = true
 			m.expire()
@@ -141,28 +144,29 @@
 			m.unhurried = false
 			m.Confirm(sent.Add(-m.lag))
 			if !m.paced {
-				m.rest(ctx, m.Settle-time.Since(begun))
+				m.pause(ctx, m.Settle-time.Since(begun))
 			}
 		}
 	}
 }
 
-// readAgain rests after a reading that proves nothing, and reports whether all is to be read again.
+// readAgain pauses after a full read without a proof, and reports whether to read everything
+// again.
 func (m *Mirror) readAgain(ctx context.Context) bool {
 	if m.Unproven == nil {
 		return false
 	}
 	m.unproven++
-	rest, again := m.Unproven(m.unproven)
+	pause, again := m.Unproven(m.unproven)
 	if !m.unhurried {
 		return false
 	}
-	m.rest(ctx, rest)
+	m.pause(ctx, pause)
 	return again
 }
 
-// rest waits between two questions.
-func (m *Mirror) rest(ctx context.Context, d time.Duration) {
+// pause waits between two requests.
+func (m *Mirror) pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(max(d, 0))
 	defer timer.Stop()
 	select {
@@ -172,9 +176,9 @@
 	}
 }
 
-// load reads all keys and settles the difference to the copy. It returns when the reading
-// began, which may be before a call that failed, and the zero time when the pages prove nothing.
-// What the first one reads is told page by page.
+// load reads all keys and reconciles the copy with them. It returns the start of the read, which
+// may precede a failed call, and the zero time if the pages yield no proof. The first full read is
+// reported page by page.
 func (m *Mirror) load(ctx context.Context, first bool) (time.Time, error) {
 	if m.reading == nil {
 		m.reading = &reading{begun: time.Now(), sent: m.Now(), seen: make(map[string]bool)}
@@ -185,7 +189,7 @@
 		if err != nil {
 			return r.sent, err
 		}
-		m.answered()
+		m.recordAnswer()
 		if r.after == "" {
 			r.first, r.at = page.At, page.At
 		}
@@ -204,7 +208,7 @@
 	}
 	for key := range m.known {
 		if !r.seen[key] {
-			m.gone(key, r.first)
+			m.remove(key, r.first)
 		}
 	}
 	m.at, m.lag, m.paced = r.at, 0, false
@@ -212,15 +216,15 @@
 	m.reading = nil
 	if !r.proves() {
 		m.Log.Info().Int("keys", len(r.seen)).Uint64("revision", r.at).Uint64("first_page", r.first).
-			Msg("what has been read of the store is old, asking for what has changed since")
+			Msg("full read yields no freshness proof, requesting the changes since its revision")
 		return time.Time{}, nil
 	}
 	return r.sent, nil
 }
 
-// page reads the next page of a reading. Where nothing is known yet, all pages but the first may be
-// stale, and that one, too, while nobody waits for the reading to be proven: when a whole fleet starts,
-// they are most of what it asks of the store.
+// page reads the next page of a full read. While nothing is known yet, all pages but the first may
+// be stale, and the first as well while no caller waits for a proof: when a whole fleet starts,
+// these pages make up most of the store's load.
 func (m *Mirror) page(ctx context.Context, r *reading, first bool) (kv.Page, error) {
 	if !first {
 		return m.Feed.Scan(ctx, m.Prefix, r.after)
@@ -245,45 +249,45 @@
 	return m.Feed.Scan(ctx, m.Prefix, "")
 }
 
-// proves reports whether the pages so far hold all that had been written under their keys when the
-// reading began.
+// proves reports whether the pages read so far contain all writes to their keys before the read
+// began.
 func (r *reading) proves() bool {
 	return !r.stale && r.at >= r.first
 }
 
-// follow asks once for changes and applies them.
+// follow requests changes once and applies them.
 func (m *Mirror) follow(ctx context.Context) error {
 	wait := m.Wait
 	if m.failures > 0 || m.overdue {
-		wait = 0 // a store that is back is to be known at once, and its silence too
+		wait = 0 // detect the store's return, or its continued silence, at once
 	}
-	for _, d := range m.doubtful {
+	for _, d := range m.pendingRemovals {
 		wait = min(wait, max(time.Until(d.due), 0))
 	}
 	page, err := m.Feed.Changes(ctx, m.Prefix, m.at, wait)
 	if err != nil {
 		return err
 	}
-	m.answered()
+	m.recordAnswer()
 	for _, p := range page.Pairs {
 		if p.Deleted {
-			m.gone(p.Key, p.Revision)
+			m.remove(p.Key, p.Revision)
 		} else {
 			m.put(p)
 		}
 	}
 	if len(page.Pairs) == 0 && page.At > m.at {
-		m.Log.Debug().Uint64("from", m.at).Uint64("to", page.At).Msg("the store's revision has risen without a change")
+		m.Log.Debug().Uint64("from", m.at).Uint64("to", page.At).Msg("revision of the store rose without a change")
 	}
 	m.at, m.lag, m.paced, m.overdue = max(m.at, page.At), page.Lag, page.Paced, false
 	return nil
 }
 
-// put takes in a pair, unless the copy has it or a later one.
+// put applies a pair, unless the copy has the same or a later revision.
 func (m *Mirror) put(p kv.Pair) {
-	if _, waited := m.doubtful[p.Key]; waited {
+	if _, pending := m.pendingRemovals[p.Key]; pending {
 		m.Log.Info().Str("key", p.Key).Uint64("revision", p.Revision).Msg("a key that had lapsed around an outage is back")
-		delete(m.doubtful, p.Key)
+		delete(m.pendingRemovals, p.Key)
 	}
 	if p.Revision <= m.known[p.Key] {
 		return
@@ -292,15 +296,16 @@
 	m.Put(p)
 }
 
-// gone takes a key away that has gone at a revision, at once or after the grace of an outage.
-func (m *Mirror) gone(key string, revision uint64) {
+// remove removes a key deleted at a revision, at once or after the grace period that follows an
+// outage.
+func (m *Mirror) remove(key string, revision uint64) {
 	if _, held := m.known[key]; !held {
 		return
 	}
 	due := m.restored.Add(m.Grace)
 	if time.Now().Before(due) {
-		if _, waits := m.doubtful[key]; !waits {
-			m.doubtful[key] = doubt{revision, due}
+		if _, pending := m.pendingRemovals[key]; !pending {
+			m.pendingRemovals[key] = pendingRemoval{revision, due}
 			m.Log.Info().Str("key", key).Uint64("revision", m.known[key]).Uint64("gone_revision", revision).Time("until", due).
 				Msg("a key has gone around an outage, and is kept for a grace as it was")
 		}
@@ -311,22 +316,22 @@
 
 func (m *Mirror) forget(key string, revision uint64) {
 	delete(m.known, key)
-	delete(m.doubtful, key)
+	delete(m.pendingRemovals, key)
 	m.Gone(key, revision)
 }
 
-// expire forgets the doubtful keys whose grace is over.
+// expire removes the pending keys whose grace period is over.
 func (m *Mirror) expire() {
 	now := time.Now()
-	for key, d := range m.doubtful {
+	for key, d := range m.pendingRemovals {
 		if !now.Before(d.due) {
 			m.forget(key, d.revision)
 		}
 	}
 }
 
-// failed notes a failure and waits before the next call.
-func (m *Mirror) failed(ctx context.Context, err error) {
+// recordFailure records a failure and pauses before the next call.
+func (m *Mirror) recordFailure(ctx context.Context, err error) {
 	m.failures++
 	var unasked *kv.UnaskedError
 	if !errors.As(err, &unasked) {
@@ -335,21 +340,20 @@
 	if m.failures == 1 && ctx.Err() == nil {
 		m.Lost(err)
 	}
-	m.rest(ctx, retryWait.Delay(m.failures, rand.Float64()))
+	m.pause(ctx, retryWait.Delay(m.failures, rand.Float64()))
 }
 
-// What counts as an outage of the store: several failures in a row, or a silence in
-// which records may have lapsed, which do so after some three seconds without their
-// owner. A single lost answer is none, and neither is the silence of other gateways that
-// are asked in its place: taken for one, it kept an endpoint that had left while the store
-// was well in use for 3.3 s.
+// An outage of the store is a series of failures, or a silence long enough for records to expire,
+// which they do about 3 s after their owner's last renewal. A single lost answer is not an outage.
+// Neither is the silence of other gateways queried in place of the store: counted as an outage, it
+// delayed the removal of an endpoint that had left by 3.3 s while the store worked well.
 const (
 	outageFailures = 2
 	outageSilence  = 2 * time.Second
 )
 
-// answered notes an answer, before its content is taken in.
-func (m *Mirror) answered() {
+// recordAnswer records an answer of the store, before its content is applied.
+func (m *Mirror) recordAnswer() {
 	now := time.Now()
 	silence := now.Sub(m.lastAnswer)
 	if m.unanswered >= outageFailures || m.unanswered > 0 && silence > outageSilence {
--- a/state/mirror/mirror_test.go
+++ b/state/mirror/mirror_test.go
@@ -19,7 +19,7 @@
 	"github.com/grademill/grademill/state/mirror"
 )
 
-// feed is a store in memory whose pages hold two pairs.
+// feed is an in-memory store whose pages hold two pairs.
 type feed struct {
 	mu      sync.Mutex
 	pairs   map[string]kv.Pair
@@ -27,20 +27,20 @@
 	rev     uint64
 	floor   uint64
 	down    bool
-	// unasked is set while others that are asked in place of the store have no answer.
+	// unasked is set while the processes queried in place of the store do not answer.
 	unasked bool
 	// silent is set while calls hang until they time out.
 	silent bool
-	// failEvery has each so manieth page fail, 0 for none; scans counts them.
+	// failEvery makes every nth page fail, 0 for none. scans counts the pages.
 	failEvery, scans int
 	// pageTime is how long a page takes.
 	pageTime time.Duration
-	// old is the store as stale pages show it, nil for one that is current; stale counts them.
+	// old is the state that stale pages show, nil for the current one. stale counts stale pages.
 	old   *feed
 	stale int
 }
 
-// callTime is how long a call without an answer hangs, beyond what it asks to wait.
+// callTime is how long an unanswered call hangs beyond its requested wait.
 const callTime = 900 * time.Millisecond
 
 var errDown = errors.New("down")
@@ -103,7 +103,7 @@
 	return f.Scan(ctx, prefix, after)
 }
 
-// age has stale pages show the store as it is now from here on.
+// age makes stale pages show the present state from now on.
 func (f *feed) age() {
 	f.old = &feed{pairs: maps.Clone(f.pairs), rev: f.rev}
 }
@@ -168,7 +168,8 @@
 
 const grace = 2 * time.Second
 
-// copyOf runs a mirror of f on a virtual clock; its copy is read while all wait.
+// copyOf runs a mirror of f on a virtual clock. Read the returned copy only while all goroutines
+// wait.
 func copyOf(t *testing.T, f *feed) map[string]string {
 	held := make(map[string]string)
 	m := &mirror.Mirror{
@@ -191,7 +192,7 @@
 	return held
 }
 
-// pass lets d pass on the virtual clock.
+// pass advances the virtual clock by d.
 func pass(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
@@ -213,7 +214,7 @@
 	})
 }
 
-func TestForgottenHistoryIsReadAnew(t *testing.T) {
+func TestCompactedHistoryCausesFullRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := new(feed)
 		f.set("a", "1")
@@ -228,9 +229,9 @@
 	})
 }
 
-// What lapses while the store is away is kept for a grace after its return: its
-// owner may come back. What is still missing then has gone.
-func TestLapsedKeysAreKeptForAGraceAfterAnOutage(t *testing.T) {
+// Keys whose leases expire during an outage of the store are retained for a grace period after its
+// return, because their owners may come back. Keys still missing afterwards are removed.
+func TestExpiredKeysAreRetainedAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := new(feed)
 		f.set("returns", "1")
@@ -250,9 +251,9 @@
 	})
 }
 
-// The silence of others that are asked in place of the store is no outage: what has gone
-// meanwhile has gone.
-func TestRemovalIsTakenAtOnceAfterOthersWereSilent(t *testing.T) {
+// The silence of other processes queried in place of the store is no outage: removals in the
+// meantime take effect at once.
+func TestRemovalIsImmediateAfterPeerSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := new(feed)
 		f.set("leaves", "1")
@@ -268,8 +269,8 @@
 	})
 }
 
-// After an outage in which calls hang, whenever it ends, the copy is current again
-// within two seconds: a hung call waits for no changes, and the next one comes soon.
+// After an outage in which calls hang, whenever it ends, the copy is current within two seconds:
+// the retry of a hung call does not wait for changes, and follows soon.
 func TestCopyIsCurrentSoonAfterSilence(t *testing.T) {
 	for away := 3 * time.Second; away < 6*time.Second; away += 130 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
@@ -287,9 +288,9 @@
 	}
 }
 
-// A store that is silent for so long that records lapse has been away, even if only
-// one call failed: a question that waits hangs for two seconds and more.
-func TestOneHungCallMayBeAnOutage(t *testing.T) {
+// A store that is silent long enough for records to expire had an outage even if only one call
+// failed: a waiting request hangs for two seconds and more.
+func TestOneHungCallCountsAsOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := new(feed)
 		f.set("returns", "1")
@@ -308,8 +309,8 @@
 	})
 }
 
-// In calm times what has gone has gone, also after a single lost answer.
-func TestRemovalIsTakenAtOnceInCalmTimes(t *testing.T) {
+// Without an outage, removals take effect at once, also after a single lost answer.
+func TestRemovalIsImmediateWithoutOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := new(feed)
 		f.set("a", "1")
@@ -321,11 +322,11 @@
 	})
 }
 
-// When all processes of a fleet start together, each reads all from a store that has a second's
-// work with it: pages took 0.5 s each and more, and those that took longer than a call may were
-// given up. Each time all was read again from the first page, so that one failure in seven pages
-// was enough to begin anew again and again.
-func TestReadingGoesOnWhereItFailed(t *testing.T) {
+// A full read continues at the page that failed. When a whole fleet starts, every process reads a
+// store that needs 0.5 s and more a page, and calls that exceed their timeout fail. Restarting
+// from the first page after each failure meant that one failure in seven pages could restart the
+// read again and again.
+func TestFullReadContinuesAfterFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &feed{failEvery: 3}
 		for i := range 20 {
@@ -338,10 +339,10 @@
 	})
 }
 
-// What a reading of all has met so far is told with each page, and with when it began: a process
-// that starts can serve by it. A question for changes follows a long reading at once, since its
-// proof is as old as the reading took.
-func TestReadingIsToldPageByPage(t *testing.T) {
+// The first full read reports its content page by page, with the time of its start, so that a
+// starting process can serve with it. A request for changes without a wait follows a long read,
+// because its proof is as old as the read took.
+func TestFirstFullReadIsReportedByPage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &feed{pageTime: 500 * time.Millisecond}
 		for i := range 8 {
@@ -375,9 +376,9 @@
 	})
 }
 
-// Most pages of a first reading are stale. What they lack is told by the changes since the oldest of
-// them, and nothing is confirmed before.
-func TestFirstReadingByStalePagesIsBroughtUpToDate(t *testing.T) {
+// Most pages of a first full read are stale. The changes since the oldest of them supply what they
+// lack, and nothing is confirmed before.
+func TestChangesCompleteFirstReadOfStalePages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := new(feed)
 		for _, key := range []string{"a", "b", "c", "d", "e"} {
@@ -408,12 +409,13 @@
 		defer cancel()
 		m.Run(ctx)
 		require.Equal(t, 2, f.stale)
-		require.Equal(t, 1, f.scans, "only the first page is asked of the store itself")
+		require.Equal(t, 1, f.scans, "only the first page is a current one")
 	})
 }
 
-// A reading whose stale pages are as new as its first one needs no changes to prove it.
-func TestStalePagesThatAreNewProveAReading(t *testing.T) {
+// A full read whose stale pages are as new as its first one is proven without a request for
+// changes.
+func TestCurrentStalePagesProveFullRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := new(feed)
 		for _, key := range []string{"a", "b", "c"} {
@@ -436,8 +438,8 @@
 	})
 }
 
-// A store that has forgotten what changed since stale pages is read anew, by pages that are current.
-func TestForgottenSinceStalePages(t *testing.T) {
+// When the store has compacted the changes since the stale pages, current pages are read instead.
+func TestCompactionSinceStalePages(t *testing.T) {
 	for name, unhurried := range map[string]bool{"unhurried": true, "hurried": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -464,8 +466,9 @@
 	}
 }
 
-// While nobody waits for it the first reading is of stale pages alone, and proven by the changes since.
-func TestUnhurriedReadingIsStale(t *testing.T) {
+// While no caller waits for it, the first full read uses stale pages only, and the changes since
+// prove it.
+func TestUnhurriedReadUsesStalePages(t *testing.T) {
 	for name, unhurried := range map[string]bool{"unhurried": true, "hurried": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
