--- a/state/watchcache/feed_test.go
+++ b/state/watchcache/feed_test.go
@@ -58,15 +58,15 @@
 // full read: the other one sends the differences.
 func TestCompactedHistoryNeedsNoFullReadByOthers(t *testing.T) {
 	s := &scripted{scan: kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 1}, {Key: "b", Revision: 2}}, At: 2}}
-	seat := newFeed(s, nil)
-	_, err := seat.Scan(t.Context(), "", "")
+	peer := newFeed(s, nil)
+	_, err := peer.Scan(t.Context(), "", "")
 	require.NoError(t, err)
 	s.scan = kv.Page{Pairs: []kv.Pair{{Key: "b", Revision: 7}, {Key: "c", Revision: 8}}, At: 9}
-	_, err = seat.Scan(t.Context(), "", "")
+	_, err = peer.Scan(t.Context(), "", "")
 	require.NoError(t, err)
 
 	other := &scripted{}
-	page, err := newFeed(other, cacheSource{seat.Cache}, "seat").Changes(t.Context(), "", 2, time.Second)
+	page, err := newFeed(other, cacheSource{peer.Cache}, "seat").Changes(t.Context(), "", 2, time.Second)
 	require.NoError(t, err)
 	require.ElementsMatch(t, []kv.Pair{
 		{Key: "b", Revision: 7}, {Key: "c", Revision: 8}, {Key: "a", Revision: 9, Deleted: true},
@@ -148,10 +148,10 @@
 	require.Equal(t, 10*time.Second, answer.Age)
 }
 
-// patient is a store without changes that answers at the end of the wait.
-type patient struct{ scripted }
+// idleStore is a store without changes that answers at the end of the wait.
+type idleStore struct{ scripted }
 
-func (p *patient) Changes(ctx context.Context, prefix string, revision uint64, wait time.Duration) (kv.Page, error) {
+func (p *idleStore) Changes(ctx context.Context, prefix string, revision uint64, wait time.Duration) (kv.Page, error) {
 	select {
 	case <-ctx.Done():
 		return kv.Page{}, ctx.Err()
@@ -165,7 +165,7 @@
 func TestRefreshRepeatsWaitingRequest(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		feed := newFeed(&patient{}, nil)
+		feed := newFeed(&idleStore{}, nil)
 		feed.Refresh() // the next request does not wait
 		begun := time.Now()
 		_, err := feed.Changes(t.Context(), "", 5, time.Second)
@@ -202,19 +202,19 @@
 	for name, at := range map[string]uint64{"at a later revision": 9, "at the same revision": 8} {
 		t.Run(name, func(t *testing.T) {
 			s := &scripted{scan: kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 1}, {Key: "b", Revision: 2}}, At: 2}}
-			seat := newFeed(s, nil)
-			_, err := seat.Scan(t.Context(), "", "")
+			peer := newFeed(s, nil)
+			_, err := peer.Scan(t.Context(), "", "")
 			require.NoError(t, err)
 			s.changes = kv.Page{At: 8}
-			_, err = seat.Changes(t.Context(), "", 2, 0)
+			_, err = peer.Changes(t.Context(), "", 2, 0)
 			require.NoError(t, err)
-			asker := newFeed(&scripted{}, cacheSource{seat.Cache}, "seat")
+			asker := newFeed(&scripted{}, cacheSource{peer.Cache}, "seat")
 			page, err := asker.Changes(t.Context(), "", 2, time.Second)
 			require.NoError(t, err)
 			require.EqualValues(t, 8, page.At)
 
 			s.scan = kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 1}, {Key: "b", Revision: 7}}, At: at}
-			_, err = seat.Scan(t.Context(), "", "")
+			_, err = peer.Scan(t.Context(), "", "")
 			require.NoError(t, err)
 			page, err = asker.Changes(t.Context(), "", 8, time.Second)
 			require.NoError(t, err)
@@ -227,10 +227,10 @@
 // and from the store only if these no longer retain them.
 func TestOtherGatewaysCompleteStaleRead(t *testing.T) {
 	stale := &scripted{scan: kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 9}}, At: 9, More: true}}
-	var seat watchcache.Cache
-	seat.Reset(5, time.Now(), 0)
-	seat.Add(kv.Page{Pairs: []kv.Pair{{Key: "b", Revision: 7}}, At: 9}, time.Now(), true, 0)
-	feed := newFeed(stale, cacheSource{&seat}, "seat")
+	var peer watchcache.Cache
+	peer.Reset(5, time.Now(), 0)
+	peer.Add(kv.Page{Pairs: []kv.Pair{{Key: "b", Revision: 7}}, At: 9}, time.Now(), true, 0)
+	feed := newFeed(stale, cacheSource{&peer}, "seat")
 	_, err := feed.Scan(t.Context(), "", "")
 	require.NoError(t, err)
 	stale.scan = kv.Page{Pairs: []kv.Pair{{Key: "b", Revision: 2}}, At: 5}
@@ -247,9 +247,9 @@
 
 func TestStoreCompletesStaleReadBeyondRetainedChanges(t *testing.T) {
 	s := &scripted{scan: kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 9}}, At: 9, More: true}}
-	var seat watchcache.Cache
-	seat.Reset(8, time.Now(), 0)
-	feed := newFeed(s, cacheSource{&seat}, "seat")
+	var peer watchcache.Cache
+	peer.Reset(8, time.Now(), 0)
+	feed := newFeed(s, cacheSource{&peer}, "seat")
 	_, err := feed.Scan(t.Context(), "", "")
 	require.NoError(t, err)
 	s.scan = kv.Page{Pairs: []kv.Pair{{Key: "b", Revision: 2}}, At: 5}
@@ -349,15 +349,15 @@
 	require.Equal(t, []string{"dead", "seat", "seat", "dead"}, from.list)
 }
 
-// mute is a store that never answers a request with a wait; if deaf is set, it answers no request
-// for changes.
-type mute struct {
+// hangingStore is a store that never answers a request with a wait; if always is set, it answers
+// no request for changes.
+type hangingStore struct {
 	scripted
-	deaf bool
+	always bool
 }
 
-func (m *mute) Changes(ctx context.Context, prefix string, revision uint64, wait time.Duration) (kv.Page, error) {
-	if wait > 0 || m.deaf {
+func (m *hangingStore) Changes(ctx context.Context, prefix string, revision uint64, wait time.Duration) (kv.Page, error) {
+	if wait > 0 || m.always {
 		<-ctx.Done()
 		return kv.Page{}, ctx.Err()
 	}
@@ -369,7 +369,7 @@
 func TestOverdueRequestIsRepeated(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		feed := newFeed(&mute{}, nil)
+		feed := newFeed(&hangingStore{}, nil)
 		begun := time.Now()
 		_, err := feed.Changes(t.Context(), "", 5, time.Second)
 		require.NoError(t, err)
@@ -383,7 +383,7 @@
 func TestUnansweredRepeatCausesFullRead(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		feed := newFeed(&mute{deaf: true}, nil)
+		feed := newFeed(&hangingStore{always: true}, nil)
 		begun := time.Now()
 		_, err := feed.Changes(t.Context(), "", 5, time.Second)
 		var compacted *kv.CompactedError
--- a/state/watchcache/proof_test.go
+++ b/state/watchcache/proof_test.go
@@ -49,22 +49,22 @@
 	writes  []write
 	changed chan struct{}
 	chance  *rand.Rand
-	// deaf is set while watches miss changes although they report later revisions. floor is the
+	// missing is set while watches miss changes although they report later revisions. compacted is the
 	// revision up to which the history is compacted.
-	deaf  bool
-	floor uint64
+	missing   bool
+	compacted uint64
 }
 
-// setDeaf sets whether watches miss changes. Unsetting it compacts the history and writes one
+// setMissing sets whether watches miss changes. Unsetting it compacts the history and writes one
 // change.
-func (s *store) setDeaf(deaf bool) {
+func (s *store) setMissing(missing bool) {
 	s.mu.Lock()
-	s.deaf = deaf
-	if !deaf {
-		s.floor = uint64(len(s.writes) + 1)
+	s.missing = missing
+	if !missing {
+		s.compacted = uint64(len(s.writes) + 1)
 	}
 	s.mu.Unlock()
-	if !deaf {
+	if !missing {
 		s.put()
 	}
 }
@@ -168,7 +168,7 @@
 		}
 		page, _ = s.since(revision)
 	}
-	if revision < s.forgotten() {
+	if revision < s.compactedRevision() {
 		return kv.Page{}, &kv.CompactedError{Revision: revision}
 	}
 	time.Sleep(s.delay())
@@ -178,18 +178,18 @@
 	return page, nil
 }
 
-// forgotten returns the revision up to which the history is compacted.
-func (s *store) forgotten() uint64 {
+// compactedRevision returns the revision up to which the history is compacted.
+func (s *store) compactedRevision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.floor
+	return s.compacted
 }
 
 func (s *store) since(revision uint64) (kv.Page, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	page := kv.Page{At: uint64(len(s.writes))}
-	if s.deaf {
+	if s.missing {
 		return page, s.changed
 	}
 	for _, w := range s.writes {
@@ -377,9 +377,9 @@
 			done := f.run(ctx)
 			for range 3 {
 				f.write(time.Second)
-				f.store.setDeaf(true)
+				f.store.setMissing(true)
 				f.write(time.Second)
-				f.store.setDeaf(false)
+				f.store.setMissing(false)
 			}
 			time.Sleep(compareTime) // answers continue to be lost
 			cancel()
