--- a/state/mirror/mirror_test.go
+++ b/state/mirror/mirror_test.go
@@ -21,12 +21,12 @@
 
 // feed is an in-memory store whose pages hold two pairs.
 type feed struct {
-	mu      sync.Mutex
-	pairs   map[string]kv.Pair
-	history []kv.Pair
-	rev     uint64
-	floor   uint64
-	down    bool
+	mu        sync.Mutex
+	pairs     map[string]kv.Pair
+	history   []kv.Pair
+	rev       uint64
+	compacted uint64
+	down      bool
 	// unasked is set while the processes queried in place of the store do not answer.
 	unasked bool
 	// silent is set while calls hang until they time out.
@@ -68,7 +68,7 @@
 func (f *feed) compact() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.floor, f.history = f.rev, nil
+	f.compacted, f.history = f.rev, nil
 }
 
 func (f *feed) setDown(down bool) {
@@ -103,8 +103,8 @@
 	return f.Scan(ctx, prefix, after)
 }
 
-// age makes stale pages show the present state from now on.
-func (f *feed) age() {
+// freezeStalePages makes stale pages show the present state from now on.
+func (f *feed) freezeStalePages() {
 	f.old = &feed{pairs: maps.Clone(f.pairs), rev: f.rev}
 }
 
@@ -154,7 +154,7 @@
 	if f.unasked {
 		return kv.Page{}, &kv.UnaskedError{Err: errDown}
 	}
-	if revision < f.floor {
+	if revision < f.compacted {
 		return kv.Page{}, &kv.CompactedError{Revision: revision}
 	}
 	page := kv.Page{At: f.rev}
@@ -384,7 +384,7 @@
 		for _, key := range []string{"a", "b", "c", "d", "e"} {
 			f.set(key, "1")
 		}
-		f.age()
+		f.freezeStalePages()
 		f.set("d", "2")
 		f.remove("e")
 		f.set("f", "1")
@@ -447,7 +447,7 @@
 				for _, key := range []string{"a", "b", "c"} {
 					f.set(key, "1")
 				}
-				f.age()
+				f.freezeStalePages()
 				f.set("c", "2")
 				f.compact()
 				held := make(map[string]string)
@@ -476,7 +476,7 @@
 				for _, key := range []string{"a", "b", "c"} {
 					f.set(key, "1")
 				}
-				f.age()
+				f.freezeStalePages()
 				f.set("a", "2")
 				newest, confirmed, partial := time.Now(), false, false
 				held := make(map[string]string)
