--- a/state/roster/departures.go
+++ b/state/roster/departures.go
@@ -8,52 +8,53 @@
 	"github.com/grademill/grademill/decide/departure"
 )
 
-// The figures of departures.
+// Bounds of the recorded and reported departures.
 const (
-	// maxDepartures bounds the departures that are kept. The oldest are dropped first: endpoints that
-	// left long ago have ended.
+	// maxDepartures bounds the recorded departures. The oldest are dropped first, since endpoints
+	// that left long ago have ended.
 	maxDepartures = 4096
-	// toldFor is how long a departure is told to others: longer than a gateway is usually without
-	// the store.
-	toldFor = time.Minute
-	// maxTold is the number of departures that are told at a time. The newer half of them is always
-	// among these, the rest by turns.
-	maxTold = 32
+	// reportPeriod is how long a departure is reported to other processes. It is longer than a
+	// gateway is usually cut off from the store.
+	reportPeriod = time.Minute
+	// maxReported is the number of departures in one report. It always includes the newest ones,
+	// which fill half of it; the older ones take turns.
+	maxReported = 32
 )
 
-// departed is a departure and when it was learned of.
-type departed struct {
+// datedDeparture is a departure and the time at which it became known.
+type datedDeparture struct {
 	departure.Departure
 	at time.Time
 }
 
-// News is a departure as one process tells it to another.
+// News is a departure as one process reports it to another.
 type News struct {
 	departure.Departure
-	// Age is how long ago the first process learned of it.
+	// Age is the time since the first process learned of the departure.
 	Age time.Duration
 }
 
-// Departed returns the departure of an endpoint, the zero Departure for none.
+// Departed returns the departure of an endpoint, the zero Departure if there is none.
 func (r *Roster) Departed(id string) departure.Departure {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.departures[id].Departure
 }
 
-// left reports whether an endpoint takes no new work, by its record or a departure; r.mu is held.
+// left reports whether an endpoint takes no new work, according to its record or a departure; r.mu
+// is held.
 func (r *Roster) left(record Record) bool {
 	return record.Leaving || r.departures[record.ID].Covers(record.Endpoint, record.Revision)
 }
 
-// Adopt takes in at now what another process tells, and returns the record that it overrules; false
-// when there is none.
+// Adopt records a departure reported by another process. It returns the endpoint's record and
+// whether the departure overrules it, so that the endpoint now counts as having left.
 func (r *Roster) Adopt(n News, now time.Time) (Record, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	record, known := r.records[n.Endpoint]
 	was := r.left(record)
-	if !r.depart(n.Departure, now.Add(-n.Age)) {
+	if !r.addDeparture(n.Departure, now.Add(-n.Age)) {
 		return record, false
 	}
 	overruled := known && !was && r.left(record)
@@ -61,33 +62,33 @@
 	return record, overruled
 }
 
-// Told returns the departures to tell others of at now.
+// Told returns the departures to report to other processes at now.
 func (r *Roster) Told(now time.Time) []News {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []News
 	for _, d := range r.departures {
-		if age := now.Sub(d.at); age < toldFor {
+		if age := now.Sub(d.at); age < reportPeriod {
 			list = append(list, News{d.Departure, max(age, 0)})
 		}
 	}
 	slices.SortFunc(list, func(a, b News) int { return cmp.Compare(a.Age, b.Age) })
-	if len(list) <= maxTold {
+	if len(list) <= maxReported {
 		return list
 	}
-	told, older := list[:maxTold/2:maxTold/2], list[maxTold/2:]
-	for range maxTold - len(told) {
+	reported, older := list[:maxReported/2:maxReported/2], list[maxReported/2:]
+	for range maxReported - len(reported) {
 		r.turn = (r.turn + 1) % len(older)
-		told = append(told, older[r.turn])
+		reported = append(reported, older[r.turn])
 	}
-	return told
+	return reported
 }
 
-// depart notes a departure that was learned of at a time, and reports whether it is news; r.mu is
-// held.
-func (r *Roster) depart(d departure.Departure, at time.Time) bool {
+// addDeparture records a departure that became known at a time, and reports whether it is new;
+// r.mu is held.
+func (r *Roster) addDeparture(d departure.Departure, at time.Time) bool {
 	if r.departures == nil {
-		r.departures = make(map[string]departed)
+		r.departures = make(map[string]datedDeparture)
 	}
 	former, known := r.departures[d.Endpoint]
 	next := former.With(d)
@@ -97,7 +98,7 @@
 	if !known && len(r.departures) >= maxDepartures {
 		delete(r.departures, r.oldest())
 	}
-	r.departures[d.Endpoint] = departed{next, at}
+	r.departures[d.Endpoint] = datedDeparture{next, at}
 	return true
 }
 
--- a/state/roster/roster.go
+++ b/state/roster/roster.go
@@ -1,5 +1,8 @@
-// Package roster keeps the endpoints of a fleet by their records in the store, and which of them
-// have left.
+// Package roster keeps the endpoints of a fleet by their records in the store, and records which
+// of them have left.
+//
+// Pass record changes from the store to Put, Remove and Drop, and departures reported by other
+// processes to Adopt. Records then returns the endpoints.
 package roster
 
 import (
@@ -10,42 +13,42 @@
 	"github.com/grademill/grademill/decide/endpoint"
 )
 
-// Record is an endpoint as its record in the store describes it.
+// Record describes an endpoint according to its record in the store.
 type Record struct {
 	endpoint.Endpoint
-	// Revision is that of the store at which the record was written.
+	// Revision is the store revision at which the record was written.
 	Revision uint64
-	// Since is when this process took the record in.
+	// Since is the time at which this process received the record.
 	Since time.Time
 }
 
-// Change is what a record means for the endpoint that it names.
+// Change is the effect of a record on the endpoint that it names.
 type Change uint8
 
-// The changes.
+// The effects of a record.
 const (
-	// Same is a record that says nothing new.
+	// Same is a record without new content.
 	Same Change = iota
-	// Changed is a new endpoint, or one that says something else than before.
+	// Changed is a record of a new endpoint, or one with different content.
 	Changed
-	// Restarted is an endpoint that has started again under its ID.
+	// Restarted is a record of an endpoint that has started again under its ID.
 	Restarted
-	// Outlived is a record of a life that a later one has followed; it is not taken in.
+	// Outlived is a record of an earlier incarnation than the known one; it is ignored.
 	Outlived
 )
 
-// Roster is the endpoints. The zero Roster has none. It is safe for concurrent use.
+// Roster holds the endpoints. The zero Roster is empty. It is safe for concurrent use.
 type Roster struct {
 	mu      sync.Mutex // guards what follows
 	records map[string]Record
-	// departures are by the ID of the endpoint; they outlast its record.
-	departures map[string]departed
+	// departures holds the departures by endpoint ID; they outlast the endpoint's record.
+	departures map[string]datedDeparture
 	changed    bool
-	// turn is where the next telling of the older departures begins.
+	// turn is the position among the older departures at which the next report continues.
 	turn int
 }
 
-// Put takes in a record, and returns what it means with the former record of the endpoint.
+// Put applies a record. It returns its effect and the previous record of the endpoint.
 func (r *Roster) Put(next Record) (Change, Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,7 +66,7 @@
 	r.records[next.ID] = next
 	r.changed = true
 	if next.Leaving {
-		r.depart(departure.Departure{Endpoint: next.ID, Born: next.Born, Announced: true, Revision: next.Revision}, next.Since)
+		r.addDeparture(departure.Departure{Endpoint: next.ID, Born: next.Born, Announced: true, Revision: next.Revision}, next.Since)
 	}
 	if known && next.Follows(former.Endpoint) {
 		return Restarted, former
@@ -71,29 +74,29 @@
 	return Changed, former
 }
 
-// renew notes that a record has been written again as it was; r.mu is held.
+// renew updates the revision of a record that was written again unchanged; r.mu is held.
 func (r *Roster) renew(former Record, revision uint64) {
 	if r.left(former) {
-		r.changed = true // it may have come back
+		r.changed = true // the departure may no longer cover the record
 	}
 	former.Revision = max(former.Revision, revision)
 	r.records[former.ID] = former
 }
 
-// Remove takes in at now that the record of an endpoint has gone, and returns the record; false when
-// there was none.
+// Remove applies the removal of an endpoint's record at a revision, and records a departure. It
+// returns the last record; false if there was none.
 func (r *Roster) Remove(id string, revision uint64, now time.Time) (Record, bool) {
 	former, known := r.Drop(id)
 	if known {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.depart(departure.Departure{Endpoint: id, Born: former.Born, Revision: revision}, now)
+		r.addDeparture(departure.Departure{Endpoint: id, Born: former.Born, Revision: revision}, now)
 	}
 	return former, known
 }
 
-// Drop forgets an endpoint whose record names none any more, and returns its last record; false when
-// there was none.
+// Drop removes an endpoint that no record names any more, without a departure. It returns the last
+// record; false if there was none.
 func (r *Roster) Drop(id string) (Record, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,8 +117,8 @@
 	return changed
 }
 
-// Records returns all endpoints, in no order. Those that have left are leaving, whatever their
-// records say.
+// Records returns all endpoints in no particular order. Endpoints that have left are marked as
+// leaving even if their records are not.
 func (r *Roster) Records() []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/state/roster/roster_test.go
+++ b/state/roster/roster_test.go
@@ -18,7 +18,7 @@
 	return roster.Record{Endpoint: endpoint.Endpoint{ID: id, Service: "records", Leaving: leaving}, Revision: revision, Since: start}
 }
 
-// open reports whether an endpoint is there and takes new work.
+// open reports whether an endpoint exists and takes new work.
 func open(r *roster.Roster, id string) bool {
 	for _, one := range r.Records() {
 		if one.ID == id {
@@ -38,7 +38,7 @@
 	r.Drop("a")
 	r.Put(record("a", 4, false))
 	require.False(t, open(&r, "a"))
-	for i := range 5000 { // more than are kept
+	for i := range 5000 { // more than the recorded departures
 		later := record(fmt.Sprint(i), 5, true)
 		later.Since = start.Add(time.Second)
 		r.Put(later)
@@ -47,28 +47,28 @@
 	require.False(t, open(&r, "4999"))
 }
 
-func TestRecordsThatHaveGoneMayComeBack(t *testing.T) {
+func TestRemovedRecordMayReturn(t *testing.T) {
 	var follower, behind roster.Roster
 	for _, r := range []*roster.Roster{&follower, &behind} {
 		r.Put(record("a", 3, false))
 	}
 	follower.Remove("a", 8, start)
-	told := follower.Told(start.Add(time.Second))
-	require.Len(t, told, 1)
-	r, overruled := behind.Adopt(told[0], start)
+	reported := follower.Told(start.Add(time.Second))
+	require.Len(t, reported, 1)
+	r, overruled := behind.Adopt(reported[0], start)
 	require.True(t, overruled)
 	require.EqualValues(t, 3, r.Revision)
-	require.False(t, open(&behind, "a"), "the record is from before it went")
-	_, overruled = behind.Adopt(told[0], start)
-	require.False(t, overruled, "no news")
+	require.False(t, open(&behind, "a"), "the record is older than its removal")
+	_, overruled = behind.Adopt(reported[0], start)
+	require.False(t, overruled, "already known")
 	behind.TakeChanged()
 	change, _ := behind.Put(record("a", 9, false))
 	require.Equal(t, roster.Same, change)
 	require.True(t, behind.TakeChanged())
-	require.True(t, open(&behind, "a"), "it is back")
+	require.True(t, open(&behind, "a"), "the record is newer than its removal")
 }
 
-func TestEachDepartureIsTold(t *testing.T) {
+func TestEachDepartureIsReported(t *testing.T) {
 	var r roster.Roster
 	const all = 200
 	for i := range all {
@@ -78,10 +78,10 @@
 	}
 	seen := make(map[string]bool)
 	for range 20 {
-		told := r.Told(start.Add(time.Second))
-		require.Len(t, told, 32)
-		require.Equal(t, fmt.Sprint(all-1), told[0].Endpoint, "the newest first")
-		for _, n := range told {
+		reported := r.Told(start.Add(time.Second))
+		require.Len(t, reported, 32)
+		require.Equal(t, fmt.Sprint(all-1), reported[0].Endpoint, "newest first")
+		for _, n := range reported {
 			seen[n.Endpoint] = true
 		}
 	}
