--- a/state/suspects/suspects.go
+++ b/state/suspects/suspects.go
@@ -1,5 +1,8 @@
-// Package suspects keeps the requests under which endpoints have ended, and those that are
-// kept from endpoints for that.
+// Package suspects records the requests during which endpoints have ended, and quarantines
+// requests.
+//
+// Note and Hear record ends, by this gateway and as reported by others. Bar quarantines a request:
+// it is not sent to endpoints until a given time. Clear removes a request that has completed.
 package suspects
 
 import (
@@ -14,25 +17,25 @@
 )
 
 const (
-	// maxKept bounds the requests that are kept, some 200 bytes each. A fleet that loses 500
-	// endpoints at once, each with 20 requests that it had just begun, has 10,000, and each
-	// gateway keeps count of a part of them.
+	// maxKept bounds the recorded requests, some 200 bytes each. A fleet that loses 500 endpoints
+	// at once, each with 20 requests just begun, has 10,000 of them, and each gateway counts a
+	// share.
 	maxKept = 4096
-	// recentTime is how long an end counts as recent: its request is tried again at once, or
-	// when its caller comes back.
+	// recentTime is how long an end counts as recent: its request is retried at once, or when its
+	// caller retries.
 	recentTime = 5 * time.Second
-	// maxEnds bounds the ends that are kept for a request: more decide nothing.
+	// maxEnds bounds the recorded ends of a request; further ones change no decision.
 	maxEnds = 8
 )
 
-// Life is one life of an endpoint: it may start again under the same ID.
+// Life is one incarnation of an endpoint, which may start again under the same ID.
 type Life struct {
 	Endpoint string
-	// Born is when it started, as it says, 0 when it does not.
+	// Born is the start time that the endpoint reports, 0 if it reports none.
 	Born int64
 }
 
-// String returns the life as the logs write it.
+// String returns the incarnation as written in the logs.
 func (l Life) String() string {
 	if l.Born == 0 {
 		return l.Endpoint
@@ -43,62 +46,63 @@
 // Begun is a request that an endpoint had just begun to run when it ended.
 type Begun struct {
 	Print fingerprint.Fingerprint
-	// Tried is set when the request was suspected already, and tried apart from all others that
-	// were.
+	// Tried is set if the request was already suspect and was tried in isolation from all other
+	// suspects.
 	Tried bool
 }
 
-// End is the end of a life under a request.
+// End is the end of an incarnation during a request.
 type End struct {
 	Life
-	// Tried is that of Begun.
+	// Tried is the value from Begun.
 	Tried bool
 }
 
-// Suspect is what is known of a request.
+// Suspect describes a suspect request.
 type Suspect struct {
 	Print fingerprint.Fingerprint
-	// Ends is the number of lives that have ended under it.
+	// Ends is the number of incarnations that have ended during it.
 	Ends int
-	// Left is how much longer it is kept from endpoints, 0 while it is not.
+	// Left is the remaining time of its quarantine, 0 if there is none.
 	Left time.Duration
-	// Recent is set while the last end, or arrival, is recent.
+	// Recent is set while the last end is recent.
 	Recent bool
 }
 
-// Suspects are the requests under which endpoints have ended. Set the exported field before
+// Suspects holds the requests during which endpoints have ended. Set the exported fields before
 // the first use.
 type Suspects struct {
-	// Lasts is how long an end counts, after the last one under the same request.
+	// Lasts is how long ends count after the last one during the same request.
 	Lasts time.Duration
-	// SuspectFrom is the number of ends from which a request is a suspect.
+	// SuspectFrom is the number of ends that makes a request suspect.
 	SuspectFrom int
 
-	// size is the number of requests in kept: most gateways keep none most of the time, and
-	// each request looks.
+	// size is the number of entries in kept, read without the lock: most gateways have none most
+	// of the time, and every request checks.
 	size atomic.Int64
-	// recentUntil is until when an end or arrival of any suspect counts as recent, in nanoseconds
-	// of Unix time: after a crash many requests are kept, and few of them are suspects.
+	// recentUntil is the time until which an end or arrival of any suspect counts as recent, in
+	// nanoseconds of Unix time. It avoids a search: after a crash many requests are recorded, and
+	// few of them are suspects.
 	recentUntil atomic.Int64
 	mu          sync.Mutex // guards what follows
 	kept        map[fingerprint.Fingerprint]*record
 }
 
-// record is what is kept of a request.
+// record is the state of a request.
 type record struct {
-	// ends are those of the lives that have ended under it, at is when one was last noted.
+	// ends are the incarnations that have ended during the request, at is when one was last noted.
 	ends []End
 	at   time.Time
-	// told is the number of ends that another gateway tells of, until toldUntil.
-	told      int
-	toldUntil time.Time
-	// recentUntil is until when an end, or an arrival, counts as recent.
+	// reported is the number of ends that another gateway reported, valid until reportedUntil.
+	reported      int
+	reportedUntil time.Time
+	// recentUntil is the time until which an end or an arrival counts as recent.
 	recentUntil time.Time
-	// barredUntil is until when it is kept from endpoints.
+	// barredUntil is the end of the quarantine.
 	barredUntil time.Time
 }
 
-// Note notes at now that a life has ended under a request, and returns all that have.
+// Note records that an incarnation ended during a request, and returns all ends of the request.
 func (s *Suspects) Note(f fingerprint.Fingerprint, e End, now time.Time) []End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,14 +123,15 @@
 	return slices.Clone(r.ends)
 }
 
-// noteRecent notes until when a record is recent, if it is that of a suspect; s.mu is held.
+// noteRecent extends s.recentUntil to that of a record, if it belongs to a suspect; s.mu is held.
 func (s *Suspects) noteRecent(r *record, now time.Time) {
 	if until := r.recentUntil.UnixNano(); s.ends(r, now) >= s.SuspectFrom && until > s.recentUntil.Load() {
 		s.recentUntil.Store(until)
 	}
 }
 
-// Known returns the ends under a request, as far as they count at now.
+// Known returns the ends during a request that still count at now, as far as this gateway noted
+// them itself.
 func (s *Suspects) Known(f fingerprint.Fingerprint, now time.Time) []End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,20 +142,20 @@
 	return slices.Clone(r.ends)
 }
 
-// Hear takes in the word of another gateway on the number of ends under a request, which
-// counts until a time, and on whether one of them is recent.
+// Hear records a report of another gateway: the number of ends during a request, valid until a
+// given time, and whether one of them is recent.
 func (s *Suspects) Hear(f fingerprint.Fingerprint, ends int, recent bool, now, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.record(f, now)
-	r.told, r.toldUntil = ends, until
+	r.reported, r.reportedUntil = ends, until
 	if recent && r.recentUntil.Before(until) {
 		r.recentUntil = until
 	}
 	s.noteRecent(r, now)
 }
 
-// Arrived notes that a request under which lives have ended has come again.
+// Arrived records that a request during which incarnations have ended has arrived again.
 func (s *Suspects) Arrived(f fingerprint.Fingerprint, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,7 +165,8 @@
 	}
 }
 
-// Ends returns the number of lives that have ended under a request, as far as is known at now.
+// Ends returns the number of incarnations known to have ended during a request, including reports
+// of other gateways.
 func (s *Suspects) Ends(f fingerprint.Fingerprint, now time.Time) int {
 	if s.size.Load() == 0 {
 		return 0
@@ -173,7 +179,7 @@
 	return 0
 }
 
-// Bar has a request kept from endpoints until a time, and reports whether it was not at now.
+// Bar quarantines a request until a given time, and reports whether this started a new quarantine.
 func (s *Suspects) Bar(f fingerprint.Fingerprint, now, until time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,7 +191,7 @@
 	return true
 }
 
-// Barred returns how much longer a request is kept from endpoints at now, 0 when it is not.
+// Barred returns the remaining quarantine of a request at now, 0 if there is none.
 func (s *Suspects) Barred(f fingerprint.Fingerprint, now time.Time) time.Duration {
 	if s.size.Load() == 0 {
 		return 0
@@ -198,8 +204,8 @@
 	return 0
 }
 
-// Clear forgets the ends under a request that has run to its end, unless it is kept from
-// endpoints, and reports whether there were any.
+// Clear removes the ends of a request that has completed, unless it is quarantined, and reports
+// whether it was recorded.
 func (s *Suspects) Clear(f fingerprint.Fingerprint, now time.Time) bool {
 	if s.size.Load() == 0 {
 		return false
@@ -215,8 +221,8 @@
 	return true
 }
 
-// List returns up to most requests with so many ends at least at now: those that are kept
-// from endpoints first, and then those with the most ends.
+// List returns at most most requests that are quarantined or have at least least ends: first the
+// quarantined ones, then those with the most ends.
 func (s *Suspects) List(least, most int, now time.Time) []Suspect {
 	if s.size.Load() == 0 {
 		return nil
@@ -227,7 +233,7 @@
 	for f, r := range s.kept {
 		one := Suspect{Print: f, Left: max(r.barredUntil.Sub(now), 0), Recent: now.Sub(r.at) < recentTime}
 		if now.Sub(r.at) <= s.Lasts {
-			one.Ends = len(r.ends) // its own count: an echo of the others' would never end
+			one.Ends = len(r.ends) // own count only: gateways that echo each other's counts would keep them alive forever
 		}
 		if one.Left > 0 || one.Ends >= least {
 			list = append(list, one)
@@ -245,14 +251,13 @@
 	if now.Sub(r.at) <= s.Lasts {
 		n = len(r.ends)
 	}
-	if now.Before(r.toldUntil) {
-		n = max(n, r.told)
+	if now.Before(r.reportedUntil) {
+		n = max(n, r.reported)
 	}
 	return n
 }
 
-// Recent returns the suspects of which an end or an arrival is recent at now, and that are not
-// kept from endpoints.
+// Recent returns the suspects with a recent end or arrival that are not quarantined.
 func (s *Suspects) Recent(now time.Time) []fingerprint.Fingerprint {
 	if now.UnixNano() >= s.recentUntil.Load() {
 		return nil
@@ -268,7 +273,7 @@
 	return list
 }
 
-// record returns the record of a request, a new one if there is none; s.mu is held.
+// record returns the record of a request, and creates it if necessary; s.mu is held.
 func (s *Suspects) record(f fingerprint.Fingerprint, now time.Time) *record {
 	if r := s.kept[f]; r != nil {
 		return r
@@ -277,7 +282,7 @@
 		s.kept = make(map[fingerprint.Fingerprint]*record)
 	}
 	if len(s.kept) >= maxKept {
-		s.makeRoom(now)
+		s.evict(now)
 	}
 	r := new(record)
 	s.kept[f] = r
@@ -285,9 +290,9 @@
 	return r
 }
 
-// makeRoom drops what no longer counts, or else the half of the rest that was noted the
-// longest ago, but nothing that is kept from endpoints; s.mu is held.
-func (s *Suspects) makeRoom(now time.Time) {
+// evict drops the records that no longer count. If that does not free half of the space, it also
+// drops the older half of the rest. It keeps quarantined requests; s.mu is held.
+func (s *Suspects) evict(now time.Time) {
 	var times []time.Time
 	for f, r := range s.kept {
 		switch {
--- a/state/suspects/suspects_test.go
+++ b/state/suspects/suspects_test.go
@@ -10,16 +10,16 @@
 	"github.com/grademill/grademill/state/suspects"
 )
 
-// at is a time of the tests.
+// at returns a time of the tests.
 func at(seconds int) time.Time { return time.Unix(1000, 0).Add(time.Duration(seconds) * time.Second) }
 
 func end(id string, born int64) suspects.End {
 	return suspects.End{Life: suspects.Life{Endpoint: id, Born: born}}
 }
 
-// Each life counts once, also when it is told of again; an endpoint that has started again
-// under its ID is another life.
-func TestLivesCountOnce(t *testing.T) {
+// Each incarnation counts once, also when it is noted again. An endpoint that restarts under its
+// ID is another incarnation.
+func TestIncarnationsCountOnce(t *testing.T) {
 	t.Parallel()
 	s := suspects.Suspects{Lasts: time.Minute}
 	require.Zero(t, s.Ends(1, at(0)))
@@ -31,10 +31,10 @@
 	tried := end("a", 2)
 	tried.Tried = true
 	s.Note(1, tried, at(3))
-	require.Equal(t, []suspects.End{end("a", 1), tried}, s.Note(1, end("a", 2), at(4)), "told of both ways")
+	require.Equal(t, []suspects.End{end("a", 1), tried}, s.Note(1, end("a", 2), at(4)), "noted as tried and as not tried")
 }
 
-// Ends are forgotten a while after the last one, and when the request runs to its end.
+// Ends are forgotten some time after the last one, and when the request completes.
 func TestEndsAreForgotten(t *testing.T) {
 	t.Parallel()
 	s := suspects.Suspects{Lasts: time.Minute, SuspectFrom: 2}
@@ -53,21 +53,20 @@
 	require.False(t, s.Clear(1, at(121)))
 }
 
-// A request is kept from endpoints until its time, also when one that had begun before runs
-// to its end.
-func TestBar(t *testing.T) {
+// A quarantine lasts until its time, also if an earlier run of the request completes.
+func TestQuarantine(t *testing.T) {
 	t.Parallel()
 	s := suspects.Suspects{Lasts: time.Minute}
 	require.True(t, s.Bar(1, at(0), at(60)))
-	require.False(t, s.Bar(1, at(1), at(99)), "it is known")
+	require.False(t, s.Bar(1, at(1), at(99)), "already quarantined")
 	require.Equal(t, 20*time.Second, s.Barred(1, at(40)))
 	require.False(t, s.Clear(1, at(41)))
 	require.Zero(t, s.Barred(1, at(60)))
 	require.Zero(t, s.Barred(2, at(40)))
 }
 
-// The word of others counts for its time, and is not told on.
-func TestWordOfOthers(t *testing.T) {
+// Reports of other gateways count until they expire, and are not passed on.
+func TestReportsOfOtherGateways(t *testing.T) {
 	t.Parallel()
 	s := suspects.Suspects{Lasts: time.Minute}
 	s.Hear(1, 2, false, at(0), at(5))
@@ -76,7 +75,7 @@
 	require.Zero(t, s.Ends(1, at(5)))
 }
 
-// What is kept from endpoints is told first, and nothing with fewer ends than asked.
+// Quarantined requests come first; requests with fewer ends than asked for are omitted.
 func TestList(t *testing.T) {
 	t.Parallel()
 	s := suspects.Suspects{Lasts: time.Minute}
@@ -92,8 +91,8 @@
 	require.Len(t, s.List(1, 2, at(10)), 2)
 }
 
-// However many there are, what is kept is bounded, and what is kept from endpoints stays.
-func TestBounded(t *testing.T) {
+// The number of records is bounded, and quarantined requests are retained.
+func TestRecordsAreBounded(t *testing.T) {
 	t.Parallel()
 	s := suspects.Suspects{Lasts: time.Minute}
 	s.Bar(1, at(0), at(1000))
@@ -102,5 +101,5 @@
 	}
 	require.LessOrEqual(t, len(s.List(0, 30_000, at(20))), 4096)
 	require.Positive(t, s.Barred(1, at(20)))
-	require.Equal(t, 1, s.Ends(20_001, at(20)), "the newest is there")
+	require.Equal(t, 1, s.Ends(20_001, at(20)), "the newest is retained")
 }
