--- a/state/peers/share.go
+++ b/state/peers/share.go
@@ -1,18 +1,18 @@
 package peers
 
-// WantedUnit is one request a second, as Share counts what is wanted.
+// WantedUnit is one request per second in the unit of Share.Wanted.
 const WantedUnit = 1000
 
-// Share is what one or several gateways have at an endpoint.
+// Share is the use of an endpoint by one or several gateways.
 type Share struct {
-	// Active is the number of requests, Entered that of those whose chain begins there,
-	// Held their memory in tokens times layers, and Reading the number of those whose
-	// prompt is being read.
+	// Active is the number of requests, Entered the number of those whose chain begins at the
+	// endpoint, Held their memory in tokens times layers, and Reading the number of those whose
+	// prompt is being processed.
 	Active, Entered, Held, Reading int64
-	// Down is the number of gateways that lately got no answer of the endpoint.
+	// Down is the number of gateways that recently got no answer from the endpoint.
 	Down int64
-	// Wanted is the number of requests that would begin there while the endpoint names a limit, as
-	// multiples of one a second in WantedUnit.
+	// Wanted is the rate of requests that would begin at the endpoint while it announces a limit,
+	// in requests per second times WantedUnit.
 	Wanted int64
 }
 
@@ -24,7 +24,7 @@
 	}
 }
 
-// Negated returns what takes the share away again.
+// Negated returns the negative share, which undoes adding s.
 func (s Share) Negated() Share {
 	return Share{
 		Active: -s.Active, Entered: -s.Entered, Held: -s.Held, Reading: -s.Reading, Down: -s.Down, Wanted: -s.Wanted,
@@ -33,6 +33,6 @@
 
 // Counter sums the shares of the other gateways at one endpoint.
 type Counter interface {
-	// Count adds a share, or one that is negated.
+	// Count adds a share, or removes one that is negated.
 	Count(s Share)
 }
--- a/state/peers/table.go
+++ b/state/peers/table.go
@@ -1,5 +1,8 @@
-// Package peers keeps what a gateway knows of the other gateways: those that the store
-// names, and what they last said they use.
+// Package peers keeps the state that a gateway knows of its peers: the gateways that the store
+// names, and the use of endpoints that they last reported.
+//
+// Pass the store's records to Announce and Withdraw, received reports to Hear, and call Expire and
+// Miss regularly.
 package peers
 
 import (
@@ -10,35 +13,35 @@
 	"github.com/grademill/grademill/decide/overlay"
 )
 
-// Key names what a report is about: a gateway, or all of a hall.
+// Key identifies the subject of a report: a gateway or a whole hall.
 type Key struct {
-	// Name is that of the gateway, empty for a hall.
+	// Name is the name of the gateway, empty for a hall.
 	Name string
-	// Hall is that of the hall, empty for a gateway.
+	// Hall is the name of the hall, empty for a gateway.
 	Hall string
 }
 
-// Report is what a gateway, or one that speaks for its hall, says.
+// Report is a report by a gateway, for itself or on behalf of its hall.
 type Report struct {
 	// From is the sender.
 	From overlay.Member
-	// Incarnation is one life of the sender; Number rises with each report of it.
+	// Incarnation identifies a run of the sender's process; Number rises with each of its reports.
 	Incarnation, Number uint64
-	// Members is the number of gateways that it speaks for, 0 for the sender alone.
+	// Members is the number of gateways that the report covers, 0 for the sender alone.
 	Members int
-	// Proven is when the configuration of the sender, or of one that it speaks for, was
-	// certainly current; zero while the store does not answer it.
+	// Proven is the time at which the configuration of a covered gateway was certainly current;
+	// zero while the store does not answer the sender.
 	Proven time.Time
 	// Partial are the outages of other gateways during which the store answered the sender: see
 	// outages.Outages.
 	Partial []uint64
-	// Every is the time between two such reports of the sender.
+	// Every is the interval between two such reports of the sender.
 	Every time.Duration
-	// Shares are the sender's by endpoint, each with the counter that they add to.
+	// Shares is the use of endpoints, by endpoint.
 	Shares map[string]Share
 }
 
-// key returns what the report is about.
+// key returns the subject of the report.
 func (r Report) key() Key {
 	if r.Members > 0 {
 		return Key{Hall: r.From.Hall}
@@ -46,37 +49,35 @@
 	return Key{Name: r.From.Name}
 }
 
-// Table is the other gateways. The zero Table has none; Counter must be set before the
-// first report is heard.
+// Table holds the other gateways. The zero Table is empty. Set Counter before the first report.
 type Table struct {
-	// Counter returns where the shares at an endpoint are summed, nil for an endpoint
-	// that is not known.
+	// Counter returns the sum of the shares at an endpoint, nil if the endpoint is unknown.
 	Counter func(endpoint string) Counter
 
 	mu sync.Mutex // guards what follows
-	// announced are the gateways that the store names, by its key.
+	// announced holds the gateways that the store names, by the store's key.
 	announced map[string]*announced
-	// known are the last reports.
-	known map[Key]*entry
+	// reports holds the latest report of each subject.
+	reports map[Key]*entry
 }
 
 // announced is a gateway that the store names.
 type announced struct {
 	overlay.Member
-	// heard is when it, or one that speaks for its hall, was last heard, or else when the store named
-	// it; absent is set once that is long ago.
+	// heard is when the latest report of the gateway or its hall arrived, or initially when the
+	// store named it. absent is set once that is long ago.
 	heard  time.Time
 	absent bool
 }
 
-// entry is a report that counts.
+// entry is a report in force.
 type entry struct {
 	Report
 	at      time.Time
 	counted map[Counter]Share
 }
 
-// count adds the shares of an entry to the counters, or takes them away.
+// count adds the shares of an entry to the counters, or removes them.
 func (e *entry) count(add bool) {
 	if e == nil {
 		return
@@ -89,7 +90,7 @@
 	}
 }
 
-// Announce notes at now a gateway that the store names under a key.
+// Announce records a gateway that the store names under a key.
 func (t *Table) Announce(key string, m overlay.Member, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -99,31 +100,31 @@
 	t.announced[key] = &announced{Member: m, heard: now}
 }
 
-// Withdraw notes that the store names no gateway under a key any more.
+// Withdraw records that the store no longer names a gateway under a key.
 func (t *Table) Withdraw(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.announced, key)
 }
 
-// Hear takes in a report at now and reports whether it counts. It does not when a newer
-// one has come, or when the sender's hall speaks for it; a report of a hall replaces
-// those of its gateways, unless it is the hall of self.
+// Hear applies a report and reports whether it is in force. It is not if a newer one has arrived,
+// or if another gateway reports for the sender's hall. A report for a hall replaces those of its
+// gateways, unless it is the hall of self.
 func (t *Table) Hear(r Report, self overlay.Member, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.known == nil {
-		t.known = make(map[Key]*entry)
+	if t.reports == nil {
+		t.reports = make(map[Key]*entry)
 	}
 	key := r.key()
-	old := t.known[key]
+	old := t.reports[key]
 	if old != nil && old.From.Name == r.From.Name && (r.Incarnation < old.Incarnation ||
 		r.Incarnation == old.Incarnation && r.Number <= old.Number) {
 		return false
 	}
 	foreign := r.From.Hall != self.Hall
 	switch {
-	case r.Members > 0 && !foreign, r.Members == 0 && foreign && t.known[Key{Hall: r.From.Hall}] != nil:
+	case r.Members > 0 && !foreign, r.Members == 0 && foreign && t.reports[Key{Hall: r.From.Hall}] != nil:
 		return false
 	case r.Members > 0:
 		t.forgetHall(r.From.Hall)
@@ -131,11 +132,11 @@
 	old.count(false)
 	next := &entry{Report: r, at: now, counted: t.counters(r.Shares)}
 	next.count(true)
-	t.known[key] = next
+	t.reports[key] = next
 	return true
 }
 
-// counters returns the shares by their counters.
+// counters returns the shares by counter, without unknown endpoints.
 func (t *Table) counters(shares map[string]Share) map[Counter]Share {
 	counted := make(map[Counter]Share, len(shares))
 	for endpoint, s := range shares {
@@ -148,36 +149,36 @@
 
 // forgetHall drops the reports of the gateways of a hall; t.mu is held.
 func (t *Table) forgetHall(hall string) {
-	for key, e := range t.known {
+	for key, e := range t.reports {
 		if key.Name != "" && e.From.Hall == hall {
 			e.count(false)
-			delete(t.known, key)
+			delete(t.reports, key)
 		}
 	}
 }
 
-// Expire forgets the gateways and halls that have been silent for so many reports, of which
-// one is due at least so often.
+// Expire drops the reports of gateways and halls that have missed the given number of reports. A
+// sender's report interval counts as least if it is shorter.
 func (t *Table) Expire(now time.Time, missed int, least time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for key, e := range t.known {
+	for key, e := range t.reports {
 		if now.Sub(e.at) > time.Duration(missed)*max(e.Every, least) {
 			e.count(false)
-			delete(t.known, key)
+			delete(t.reports, key)
 		}
 	}
 }
 
-// Miss finds the gateways that the store names and that have been silent for some time: they are given
-// nothing to do until they are heard again. They may be cut off and not have ended, so that they go on
-// counting in Size and AllHeard.
+// Miss marks the gateways that the store names and that have been silent for longer than after as
+// absent: Members omits them until they report again. They may be cut off rather than ended, so
+// Size and AllHeard still count them.
 func (t *Table) Miss(now time.Time, after time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, a := range t.announced {
 		for _, key := range []Key{{Name: a.Name}, {Hall: a.Hall}} {
-			if e := t.known[key]; e != nil && e.at.After(a.heard) {
+			if e := t.reports[key]; e != nil && e.at.After(a.heard) {
 				a.heard = e.at
 			}
 		}
@@ -185,8 +186,8 @@
 	}
 }
 
-// Silent returns the gateways that the store names and that have been silent for some time by the last
-// call of Miss, by the key.
+// Silent returns the gateways, by the store's key, that the last call of Miss marked as absent and
+// that have been silent for longer than after.
 func (t *Table) Silent(now time.Time, after time.Duration) map[string]overlay.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -199,12 +200,12 @@
 	return list
 }
 
-// Heard returns the number of other gateways that are heard by themselves.
+// Heard returns the number of other gateways with a report of their own.
 func (t *Table) Heard() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
-	for key := range t.known {
+	for key := range t.reports {
 		if key.Name != "" {
 			n++
 		}
@@ -212,13 +213,13 @@
 	return n
 }
 
-// Sum returns the sum of what the gateways of a hall said, their number, and when the
+// Sum returns the sum of the shares of a hall's gateways, their number, and the time at which the
 // newest configuration among them was certainly current.
 func (t *Table) Sum(hall string) (shares map[string]Share, members int, proven time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	shares = make(map[string]Share)
-	for key, e := range t.known {
+	for key, e := range t.reports {
 		if key.Name == "" || e.From.Hall != hall {
 			continue
 		}
@@ -233,12 +234,12 @@
 	return shares, members, proven
 }
 
-// Claims returns what the others want of the limit of an endpoint: near are the gateways that are
-// heard of one by one, far those of other halls.
+// Claims returns the demand of the others for the limit of an endpoint: near are gateways with
+// reports of their own, far are other halls.
 func (t *Table) Claims(endpoint string) (near, far []apportion.Claim) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for key, e := range t.known {
+	for key, e := range t.reports {
 		c := apportion.Claim{Name: key.Name, Members: max(e.Members, 1), Wanted: float64(e.Shares[endpoint].Wanted) / WantedUnit}
 		if key.Name != "" {
 			near = append(near, c)
@@ -249,8 +250,8 @@
 	return near, far
 }
 
-// Members returns the other gateways, each once: those that were heard of and those
-// that the store names, without the absent ones.
+// Members returns the other gateways, each once: those with a report and those that the store
+// names, without the absent ones.
 func (t *Table) Members(self string) []overlay.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -262,9 +263,9 @@
 			list = append(list, m)
 		}
 	}
-	for key, e := range t.known {
+	for key, e := range t.reports {
 		m := e.From
-		m.Heard = key.Name != "" // else another gateway speaks for it
+		m.Heard = key.Name != "" // otherwise another gateway reports for it
 		add(m)
 	}
 	for _, a := range t.announced {
@@ -275,28 +276,28 @@
 	return list
 }
 
-// Proof is what another gateway, or one that speaks for a hall, last said of how current its
-// configuration is.
+// Proof is the latest freshness proof that another gateway reported for itself or its hall: the
+// time at which its configuration was certainly current.
 type Proof struct {
-	// From is the gateway that said it.
+	// From is the gateway that sent the report.
 	From overlay.Member
-	// Members is the number of gateways that it spoke for, 0 for itself alone.
+	// Members is the number of gateways that the report covers, 0 for the sender alone.
 	Members int
-	// At is when the configuration was certainly current, as far as the age in the report tells:
-	// later by the time for which the report was under way.
+	// At is the time at which the configuration was certainly current, computed from the age in
+	// the report: too late by the report's transmission time.
 	At time.Time
-	// Heard is when the report came.
+	// Heard is when the report arrived.
 	Heard time.Time
-	// Partial is that of the Report.
+	// Partial is the value from the Report.
 	Partial []uint64
 }
 
-// Proofs returns the proofs of the others that the store answers.
+// Proofs returns the freshness proofs of the others that the store answers.
 func (t *Table) Proofs() []Proof {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []Proof
-	for _, e := range t.known {
+	for _, e := range t.reports {
 		if !e.Proven.IsZero() {
 			list = append(list, Proof{From: e.From, Members: e.Members, At: e.Proven, Heard: e.at, Partial: e.Partial})
 		}
@@ -304,42 +305,42 @@
 	return list
 }
 
-// Alone reports whether no other gateway has been heard of lately.
+// Alone reports whether no report of another gateway is in force.
 func (t *Table) Alone() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.known) == 0
+	return len(t.reports) == 0
 }
 
-// AllHeard reports whether every other gateway that the store names counts in what was
-// heard lately: by itself, or among those that another one spoke for.
+// AllHeard reports whether the reports in force cover every other gateway that the store names,
+// individually or as part of a hall.
 func (t *Table) AllHeard(self string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	missing := make(map[string]int)
 	for _, m := range t.announced {
-		if m.Name != self && t.known[Key{Name: m.Name}] == nil {
+		if m.Name != self && t.reports[Key{Name: m.Name}] == nil {
 			missing[m.Hall]++
 		}
 	}
 	for hall, n := range missing {
-		if e := t.known[Key{Hall: hall}]; e == nil || e.Members < n {
+		if e := t.reports[Key{Hall: hall}]; e == nil || e.Members < n {
 			return false
 		}
 	}
 	return true
 }
 
-// assumedSize is the number of gateways while none is known: the smallest of the
+// assumedSize is the number of gateways assumed while no other is known: the smallest of the
 // users' fleets.
 const assumedSize = 5
 
-// Size returns the number of gateways, the one that asks included.
+// Size returns the number of gateways, including this one.
 func (t *Table) Size() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	heard := 1
-	for key, e := range t.known {
+	for key, e := range t.reports {
 		if key.Name != "" {
 			heard++
 		} else {
--- a/state/peers/table_test.go
+++ b/state/peers/table_test.go
@@ -10,7 +10,7 @@
 	"github.com/grademill/grademill/state/peers"
 )
 
-// counter sums what is counted.
+// counter sums the counted shares.
 type counter struct{ peers.Share }
 
 func (c *counter) Count(s peers.Share) { c.Share = c.Plus(s) }
@@ -26,7 +26,7 @@
 	}}, c
 }
 
-// self is the gateway that the table is of.
+// self is the gateway that owns the table.
 var self = overlay.Member{Name: "self", Hall: "north"}
 
 // report returns a report of a gateway with requests at the endpoint.
@@ -59,17 +59,17 @@
 	require.True(t, table.Alone())
 }
 
-// What a hall uses counts once, whoever tells it.
+// The shares of a hall count once, whichever gateway reports them.
 func TestHallIsCountedOnce(t *testing.T) {
 	table, sum := table()
 	now := time.Now()
 	require.True(t, table.Hear(report("far-1", "south", 1, 0, 2), self, now))
 	require.True(t, table.Hear(report("far-1", "south", 2, 3, 10), self, now))
 	require.EqualValues(t, 10, sum.Active)
-	require.False(t, table.Hear(report("far-2", "south", 1, 0, 4), self, now), "its hall speaks for it")
-	require.True(t, table.Hear(report("far-2", "south", 1, 3, 11), self, now), "another one speaks for the hall")
+	require.False(t, table.Hear(report("far-2", "south", 1, 0, 4), self, now), "another gateway reports for its hall")
+	require.True(t, table.Hear(report("far-2", "south", 1, 3, 11), self, now), "another gateway now reports for the hall")
 	require.EqualValues(t, 11, sum.Active)
-	require.False(t, table.Hear(report("near-1", "north", 1, 2, 7), self, now), "sums of the own hall do not count")
+	require.False(t, table.Hear(report("near-1", "north", 1, 2, 7), self, now), "reports for the own hall are ignored")
 	require.EqualValues(t, 11, sum.Active)
 	require.Equal(t, 4, table.Size())
 	require.Equal(t, "far-2", table.Members("self")[0].Name)
@@ -88,8 +88,8 @@
 	require.EqualValues(t, 5, shares["card"].Active)
 }
 
-// All are heard when each gateway that the store names told its own, or another one spoke
-// for as many of its hall.
+// AllHeard is true once each gateway that the store names has reported, or a report for its hall
+// covers enough gateways.
 func TestAllHeard(t *testing.T) {
 	table, _ := table()
 	now := time.Now()
@@ -108,8 +108,8 @@
 	require.Len(t, table.Members(self.Name), 2)
 }
 
-// A gateway that the store names long after it was last heard is given nothing to do, and still counts as
-// one that may be cut off.
+// A gateway that the store names but that has been silent for long is not a member, and still
+// counts in Size and AllHeard because it may be cut off.
 func TestSilentGatewaysAreAbsent(t *testing.T) {
 	table, _ := table()
 	now := time.Now()
@@ -128,7 +128,7 @@
 	table.Hear(report("b", "north", 1, 0, 1), self, now)
 	table.Expire(now.Add(time.Minute), 6, time.Second)
 	table.Miss(now.Add(time.Minute), 8*time.Second)
-	require.Empty(t, names(table), "a hall that nobody speaks for has ended")
+	require.Empty(t, names(table), "a hall without reports is absent")
 	require.Equal(t, 3, table.Size())
 }
 
