--- a/state/outages/outages.go
+++ b/state/outages/outages.go
@@ -1,11 +1,11 @@
-// Package outages keeps which gateways have lost the store, and tells an outage of the store
-// from the loss of one gateway's way to it.
+// Package outages records which gateways have lost the store, and distinguishes an outage of the
+// store from one gateway's loss of its connection to it.
 //
-// The order of events is told by what was heard before what, and not by ages or clocks: a
-// gateway that has lost the store draws a number for its outage and tells it to the others; one
-// that the store answers once it has heard the number tells it back. Whoever gets its own number
-// back knows that the store answered another gateway after its own loss had begun, however long
-// the messages were under way.
+// It orders events by which message was received before which request was sent, and not by ages or
+// clocks. A gateway that loses the store draws a random number for its outage and sends it to the
+// others. A gateway that gets an answer of the store to a request sent after it received the
+// number returns the number. A gateway that gets its own number back knows that the store answered
+// another gateway after its own loss began, whatever the delay of the messages.
 package outages
 
 import (
@@ -14,27 +14,28 @@
 	"time"
 )
 
-// Outages are the losses of the store that are under way: this gateway's and what others told
-// of theirs. Set the exported field before the first use.
+// Outages holds the outages in progress: this gateway's own, and those that others reported. Set
+// the exported field before the first use.
 type Outages struct {
-	// Fresh is how long the word of another gateway counts.
+	// Fresh is how long the report of another gateway counts.
 	Fresh time.Duration
 
 	mu sync.Mutex // guards what follows
-	// own is the number of this gateway's outage, 0 while there is none.
+	// own is the number of this gateway's outage, 0 if there is none.
 	own uint64
-	// others are those of other gateways, by name.
-	others map[string]told
+	// others holds the outages of other gateways, by name.
+	others map[string]reportedOutage
 }
 
-// told is the outage of another gateway.
-type told struct {
+// reportedOutage is the outage of another gateway.
+type reportedOutage struct {
 	number uint64
-	// first and last are when it was first and last heard of, by the clock of proofs.
+	// first and last are when its first and latest report arrived, by the clock of freshness
+	// proofs.
 	first, last time.Time
 }
 
-// Begin begins an outage of this gateway, and reports whether none was under way.
+// Begin starts an outage of this gateway, and reports whether none was in progress.
 func (o *Outages) Begin() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -52,15 +53,15 @@
 	o.own = 0
 }
 
-// Own returns the number of this gateway's outage, 0 when there is none.
+// Own returns the number of this gateway's outage, 0 if there is none.
 func (o *Outages) Own() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.own
 }
 
-// Hear takes in the number of another gateway's outage, 0 for none, and reports whether it is
-// a new one. The time is that of the clock of proofs.
+// Hear records the number of another gateway's outage, 0 for none, and reports whether it is new.
+// now is read from the clock of freshness proofs.
 func (o *Outages) Hear(gateway string, number uint64, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -75,13 +76,13 @@
 		return false
 	}
 	if o.others == nil {
-		o.others = make(map[string]told)
+		o.others = make(map[string]reportedOutage)
 	}
-	o.others[gateway] = told{number: number, first: now, last: now}
+	o.others[gateway] = reportedOutage{number: number, first: now, last: now}
 	return true
 }
 
-// Any reports whether another gateway has lately told of an outage.
+// Any reports whether another gateway has recently reported an outage.
 func (o *Outages) Any(now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -89,8 +90,9 @@
 	return len(o.others) > 0
 }
 
-// Partial returns the outages of others that are none of the store itself: it has answered a
-// question that this gateway sent, at a time, after it had heard of them.
+// Partial returns the outages of others that are not outages of the store itself, given that the
+// store has answered a request that this gateway sent at time sent: those first reported before
+// it.
 func (o *Outages) Partial(sent, now time.Time) []uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -104,7 +106,7 @@
 	return list
 }
 
-// forget drops the words of gateways that have said nothing for long; o.mu is held.
+// forget drops the outages without a recent report; o.mu is held.
 func (o *Outages) forget(now time.Time) {
 	for gateway, t := range o.others {
 		if now.Sub(t.last) > o.Fresh {
--- a/state/outages/outages_test.go
+++ b/state/outages/outages_test.go
@@ -15,27 +15,27 @@
 	require.True(t, o.Begin())
 	first := o.Own()
 	require.NotZero(t, first)
-	require.False(t, o.Begin(), "it is under way")
+	require.False(t, o.Begin(), "already in progress")
 	require.Equal(t, first, o.Own())
 	o.End()
 	require.Zero(t, o.Own())
 	require.True(t, o.Begin())
-	require.NotEqual(t, first, o.Own(), "an answer to the former one says nothing of this one")
+	require.NotEqual(t, first, o.Own(), "an answer to the former outage does not apply to this one")
 }
 
-// Only a question that was sent after the word of an outage proves that the store is there.
+// Only a request sent after the report of an outage arrived proves that the store is available.
 func TestPartial(t *testing.T) {
 	now := time.Now()
 	o := outages.Outages{Fresh: time.Second}
 	require.True(t, o.Hear("a", 7, now))
 	require.False(t, o.Hear("a", 7, now.Add(500*time.Millisecond)))
-	require.Empty(t, o.Partial(now.Add(-time.Millisecond), now), "sent before")
+	require.Empty(t, o.Partial(now.Add(-time.Millisecond), now), "sent before the report")
 	require.Equal(t, []uint64{7}, o.Partial(now.Add(time.Millisecond), now.Add(time.Second)))
-	require.True(t, o.Hear("a", 9, now.Add(time.Second)), "another one")
+	require.True(t, o.Hear("a", 9, now.Add(time.Second)), "another outage")
 	require.Empty(t, o.Partial(now.Add(time.Millisecond), now.Add(time.Second)))
 	require.True(t, o.Any(now.Add(time.Second)))
-	require.False(t, o.Any(now.Add(3*time.Second)), "it has said nothing since")
+	require.False(t, o.Any(now.Add(3*time.Second)), "no report since")
 	o.Hear("b", 5, now)
 	o.Hear("b", 0, now)
-	require.False(t, o.Any(now), "it is over")
+	require.False(t, o.Any(now), "the outage is over")
 }
