--- a/state/witnesses/witnesses.go
+++ b/state/witnesses/witnesses.go
@@ -1,4 +1,4 @@
-// Package witnesses counts who has lately said the same thing.
+// Package witnesses counts the distinct reporters that recently made the same report.
 package witnesses
 
 import (
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// Witnesses are those that said something. Set the exported field before the first use.
+// Witnesses holds the reporters of one fact. Set the exported field before the first use.
 type Witnesses struct {
-	// Fresh is how long a word counts.
+	// Fresh is how long a report counts.
 	Fresh time.Duration
 
-	mu   sync.Mutex // guards what follows
-	said map[string]time.Time
+	mu      sync.Mutex // guards what follows
+	reports map[string]time.Time
 }
 
-// Say notes that one with a name says it at now, and returns how many have lately.
+// Say records a report by a named reporter, and returns the number of recent reporters.
 func (w *Witnesses) Say(name string, now time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.said == nil {
-		w.said = make(map[string]time.Time)
+	if w.reports == nil {
+		w.reports = make(map[string]time.Time)
 	}
-	w.said[name] = now
+	w.reports[name] = now
 	return w.count(now)
 }
 
-// Count returns how many have said it lately.
+// Count returns the number of recent reporters.
 func (w *Witnesses) Count(now time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.count(now)
 }
 
-// count forgets old words and returns the number of the others; w.mu is held.
+// count drops expired reports and returns the number of the others; w.mu is held.
 func (w *Witnesses) count(now time.Time) int {
-	for name, at := range w.said {
+	for name, at := range w.reports {
 		if now.Sub(at) > w.Fresh {
-			delete(w.said, name)
+			delete(w.reports, name)
 		}
 	}
-	return len(w.said)
+	return len(w.reports)
 }
