--- a/state/intake/intake.go
+++ b/state/intake/intake.go
@@ -1,5 +1,6 @@
-// Package intake keeps, for one endpoint, what it has said of the requests that it takes and what
-// this gateway may still send it. Reading it takes no lock: every request looks at it.
+// Package intake keeps the throttle of one endpoint: the limits that it announced for the requests
+// it takes, and the share that this gateway may still send. Reads take no lock, because every
+// request checks it.
 package intake
 
 import (
@@ -10,16 +11,16 @@
 	"github.com/grademill/grademill/decide/throttle"
 )
 
-// Intake is the throttle of one endpoint. The zero Intake lets all pass. It is safe for concurrent
-// use.
+// Intake is the throttle of one endpoint. The zero Intake lets all requests pass. It is safe for
+// concurrent use.
 type Intake struct {
-	// current is nil while the endpoint has said nothing.
+	// current is nil until the endpoint announces something.
 	current atomic.Pointer[throttle.Throttle]
-	// waiting is the number of requests that wait for it.
+	// waiting is the number of requests that wait for the endpoint.
 	waiting atomic.Int64
 }
 
-// Load returns the throttle at the moment.
+// Load returns the current throttle.
 func (i *Intake) Load() throttle.Throttle {
 	if t := i.current.Load(); t != nil {
 		return *t
@@ -27,17 +28,19 @@
 	return throttle.Throttle{}
 }
 
-// Hear takes in what an answer says, and returns the throttle before and after.
+// Hear applies the announcement in an answer of the endpoint, and returns the throttle before and
+// after.
 func (i *Intake) Hear(w throttle.Word) (before, after throttle.Throttle) {
-	said := throttle.Word{Sent: w.Sent, Heard: w.Heard}
-	if i.current.Load() == nil && w == said {
-		return before, after // nearly every answer says nothing
+	empty := throttle.Word{Sent: w.Sent, Heard: w.Heard}
+	if i.current.Load() == nil && w == empty {
+		return before, after // nearly every answer announces nothing
 	}
-	luck := rand.Float64()
-	return i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithWord(w, luck) })
+	jitter := rand.Float64()
+	return i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithWord(w, jitter) })
 }
 
-// update replaces the throttle by what change makes of it, and returns both.
+// update replaces the throttle by the result of change, and returns both. It may call change
+// several times.
 func (i *Intake) update(change func(throttle.Throttle) throttle.Throttle) (before, after throttle.Throttle) {
 	for {
 		old := i.current.Load()
@@ -52,7 +55,7 @@
 	}
 }
 
-// Told takes in a word of another gateway on the limit, and returns the throttle before and after.
+// Told applies a limit reported by another gateway, and returns the throttle before and after.
 func (i *Intake) Told(l throttle.Limit, now time.Time) (before, after throttle.Throttle) {
 	if i.current.Load() == nil && !l.Named() {
 		return before, after
@@ -61,19 +64,19 @@
 	return i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithLimit(l, now, luck) })
 }
 
-// Divide sets this gateway's part of the limit.
+// Divide sets this gateway's share of the limit.
 func (i *Intake) Divide(share float64, now time.Time) {
 	i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithShare(share, now) })
 }
 
-// Want counts a request that would begin at the endpoint, if it names a limit.
+// Want counts a request that would begin at the endpoint, if the endpoint announces a limit.
 func (i *Intake) Want(now time.Time) {
 	if i.Load().Named() {
 		i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithDemand(now) })
 	}
 }
 
-// Take lets a request pass at now, and counts it, unless something holds it off.
+// Take lets a request pass at now and counts it, or returns why it may not pass.
 func (i *Intake) Take(now time.Time) throttle.Hold {
 	for {
 		old := i.current.Load()
@@ -90,7 +93,7 @@
 	}
 }
 
-// Held returns why no request may go out at now, Free when one may.
+// Held returns why no request may pass at now, Free if one may.
 func (i *Intake) Held(now time.Time) throttle.Hold {
 	if t := i.current.Load(); t != nil {
 		return t.Held(now)
@@ -98,8 +101,8 @@
 	return throttle.Free
 }
 
-// Wait counts a request that waits for the endpoint until leave is called, and returns when it may go
-// out, as known at now, after those that wait already; false when that is not known.
+// Wait counts a request that waits for the endpoint until leave is called. It returns when the
+// request may pass, after those that wait already; known is false if that is not known.
 func (i *Intake) Wait(now time.Time) (from time.Time, known bool, leave func()) {
 	ahead := i.waiting.Add(1) - 1
 	leave = func() { i.waiting.Add(-1) }
@@ -111,13 +114,13 @@
 	return from, known, leave
 }
 
-// Tells reports whether other gateways are to be told at now what is known of the limit.
+// Tells reports whether the known limit is to be reported to other gateways at now.
 func (i *Intake) Tells(now time.Time) bool {
 	t := i.current.Load()
 	return t != nil && t.Tells(now)
 }
 
-// Silent reports whether the endpoint has never said anything.
+// Silent reports whether the endpoint has never announced anything.
 func (i *Intake) Silent() bool {
 	return i.current.Load() == nil
 }
