--- a/state/streams/times.go
+++ b/state/streams/times.go
@@ -1,4 +1,4 @@
-// Package streams learns how long the streams of services take.
+// Package streams estimates how long the streams of each service take.
 package streams
 
 import (
@@ -8,32 +8,32 @@
 	"github.com/grademill/grademill/state/byname"
 )
 
-// firstMargin is by how much longer than on average a first event is taken to come: four
-// in five come sooner.
+// firstMargin is the factor between the average time to a first event and the expected one: four
+// in five first events arrive sooner.
 const firstMargin = 2
 
-// Times learns how long the first events of each service take, and how long its streams
-// last. The zero Times is ready to use. It is safe for concurrent use.
+// Times estimates the time to the first event and the duration of the streams of each service. The
+// zero Times is ready to use. It is safe for concurrent use.
 type Times struct {
-	first, whole byname.Map[timeout.Estimator]
+	first, total byname.Map[timeout.Estimator]
 }
 
-// NoteFirst notes that a first event came so long after its request was sent.
+// NoteFirst records the time from sending a request to its first event.
 func (t *Times) NoteFirst(service string, took time.Duration) {
 	t.first.Update(service, func(e timeout.Estimator) timeout.Estimator { return e.WithSample(took) })
 }
 
-// NoteWhole notes that a stream ended so long after its request was sent.
+// NoteWhole records the time from sending a request to the end of its stream.
 func (t *Times) NoteWhole(service string, took time.Duration) {
-	t.whole.Update(service, func(e timeout.Estimator) timeout.Estimator { return e.WithSample(took) })
+	t.total.Update(service, func(e timeout.Estimator) timeout.Estimator { return e.WithSample(took) })
 }
 
-// First returns how long a first event is taken to take, 0 until there has been one.
+// First returns the expected time to the first event, 0 if no event has arrived yet.
 func (t *Times) First(service string) time.Duration {
 	return firstMargin * t.first.Get(service).Mean()
 }
 
-// Lasts returns how long streams last on average, 0 until one has ended.
+// Lasts returns the average duration of a stream, 0 if none has ended yet.
 func (t *Times) Lasts(service string) time.Duration {
-	return t.whole.Get(service).Mean()
+	return t.total.Get(service).Mean()
 }
--- a/state/streams/times_test.go
+++ b/state/streams/times_test.go
@@ -9,7 +9,7 @@
 	"github.com/grademill/grademill/state/streams"
 )
 
-// Each service has its own times, which follow what was seen.
+// Each service has its own estimates, which follow the recorded times.
 func TestTimes(t *testing.T) {
 	var times streams.Times
 	require.Zero(t, times.First("a"))
