--- a/state/byname/map_test.go
+++ b/state/byname/map_test.go
@@ -9,7 +9,7 @@
 	"github.com/grademill/grademill/state/byname"
 )
 
-// Updates of one name from many goroutines all count, and do not touch other names.
+// Concurrent updates of one name all take effect, and do not affect other names.
 func TestMap(t *testing.T) {
 	var m byname.Map[int]
 	require.Zero(t, m.Get("a"))
