--- a/state/lines/lines.go
+++ b/state/lines/lines.go
@@ -1,4 +1,4 @@
-// Package lines bounds what one gateway sends over the lines between halls.
+// Package lines bounds the traffic of one gateway over the network links between halls.
 package lines
 
 import (
@@ -9,34 +9,32 @@
 	"github.com/grademill/grademill/decide/catalog"
 )
 
-// The figures of the lines between halls.
+// Bounds of the traffic over links between halls.
 const (
-	// lineShare is the part of a line that chains across halls may fill: a line
-	// that is full holds up every chain across it.
-	lineShare = 0.4
-	// lineCrossings is how often a chain that leaves a hall crosses a line, on
-	// average.
-	lineCrossings = 1.5
-	// lineBurst is how long the part may be saved up.
-	lineBurst = 4 * time.Second
+	// linkShare is the fraction of a link that chains across halls may use: a full link delays
+	// every chain that crosses it.
+	linkShare = 0.4
+	// crossingsPerChain is how often a chain that leaves a hall crosses a link, on average.
+	crossingsPerChain = 1.5
+	// burstTime is how long unused capacity accumulates.
+	burstTime = 4 * time.Second
 )
 
-// Lines bounds what this gateway sends across halls. The zero Lines is ready to
-// use.
+// Lines bounds the traffic of this gateway across halls. The zero Lines is ready to use.
 type Lines struct {
 	limiter rate.Limiter
 }
 
-// Allow takes the crossing of so many tokens out of this gateway's part of the
-// lines, if there is enough left.
+// Allow reserves the crossing of the given number of tokens from this gateway's share of the
+// links, and reports whether enough was left.
 func (l *Lines) Allow(m *catalog.Model, tokens, gateways int) bool {
 	if m.LinkRate <= 0 || m.Handed <= 0 {
 		return true
 	}
-	perSecond := lineShare * m.LinkRate / m.Handed / lineCrossings / float64(gateways)
+	perSecond := linkShare * m.LinkRate / m.Handed / crossingsPerChain / float64(gateways)
 	if limit := rate.Limit(perSecond); limit != l.limiter.Limit() {
 		l.limiter.SetLimit(limit)
-		l.limiter.SetBurst(int(perSecond * lineBurst.Seconds()))
+		l.limiter.SetBurst(int(perSecond * burstTime.Seconds()))
 	}
 	return l.limiter.AllowN(time.Now(), tokens)
 }
--- a/state/lines/lines_test.go
+++ b/state/lines/lines_test.go
@@ -11,8 +11,8 @@
 	"github.com/grademill/grademill/state/lines"
 )
 
-// A gateway takes its part of a line and no more, once it has saved it up; where the line
-// has no rate it is free.
+// A gateway gets its share of a link and no more, after accumulating it for a while. A link
+// without a known rate is not limited.
 func TestLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var free lines.Lines
