--- a/state/mirror/mirror_test.go
+++ b/state/mirror/mirror_test.go
@@ -322,10 +322,10 @@
 	})
 }
 
-// A full read continues at the page that failed. When a whole fleet starts, every process reads a
-// store that needs 0.5 s and more a page, and calls that exceed their timeout fail. Restarting
-// from the first page after each failure meant that one failure in seven pages could restart the
-// read again and again.
+// A full read continues at the page that failed. When all processes of a fleet start together,
+// each reads everything from a store that needs a second for it: pages took 0.5 s and more, and
+// calls that exceeded their timeout failed. Restarting from the first page after each failure meant
+// that one failure in seven pages could restart the read again and again.
 func TestFullReadContinuesAfterFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &feed{failEvery: 3}
