--- a/state/watchcache/feed_test.go
+++ b/state/watchcache/feed_test.go
@@ -38,35 +38,35 @@
 	return s.changes, s.err
 }
 
-// newFeed returns a feed over a store whose questions go to seats.
-func newFeed(s kv.Feed, from watchcache.Source, seats ...string) *watchcache.Feed {
+// newFeed returns a feed over a store that queries the gateways at the given addresses.
+func newFeed(s kv.Feed, from watchcache.Source, addresses ...string) *watchcache.Feed {
 	return &watchcache.Feed{
 		Store: s, Source: from, Cache: new(watchcache.Cache), Log: zerolog.Nop(),
-		Sources: func() ([]string, bool) { return seats, true },
+		Sources: func() ([]string, bool) { return addresses, true },
 		Age:     func() time.Duration { return time.Second }, LateIn: func() time.Duration { return time.Second },
 	}
 }
 
-// asks answers from a cache, whatever the address.
-type asks struct{ cache *watchcache.Cache }
+// cacheSource is a Source that answers from a cache, whatever the address.
+type cacheSource struct{ cache *watchcache.Cache }
 
-func (a asks) Ask(ctx context.Context, _ string, q watchcache.Question) (watchcache.Answer, error) {
+func (a cacheSource) Ask(ctx context.Context, _ string, q watchcache.Question) (watchcache.Answer, error) {
 	return a.cache.Ask(ctx, q)
 }
 
-// When the store has forgotten its history, those that ask another gateway go on without
-// reading all again: it tells them what differs.
-func TestForgottenHistoryIsBridged(t *testing.T) {
+// When the store has compacted its history, a gateway that queries another one continues without a
+// full read: the other one sends the differences.
+func TestCompactedHistoryNeedsNoFullReadByOthers(t *testing.T) {
 	s := &scripted{scan: kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 1}, {Key: "b", Revision: 2}}, At: 2}}
-	seat := newFeed(s, nil)
-	_, err := seat.Scan(t.Context(), "", "")
+	peer := newFeed(s, nil)
+	_, err := peer.Scan(t.Context(), "", "")
 	require.NoError(t, err)
 	s.scan = kv.Page{Pairs: []kv.Pair{{Key: "b", Revision: 7}, {Key: "c", Revision: 8}}, At: 9}
-	_, err = seat.Scan(t.Context(), "", "")
+	_, err = peer.Scan(t.Context(), "", "")
 	require.NoError(t, err)
 
 	other := &scripted{}
-	page, err := newFeed(other, asks{seat.Cache}, "seat").Changes(t.Context(), "", 2, time.Second)
+	page, err := newFeed(other, cacheSource{peer.Cache}, "seat").Changes(t.Context(), "", 2, time.Second)
 	require.NoError(t, err)
 	require.ElementsMatch(t, []kv.Pair{
 		{Key: "b", Revision: 7}, {Key: "c", Revision: 8}, {Key: "a", Revision: 9, Deleted: true},
@@ -75,13 +75,13 @@
 	require.Zero(t, other.scans+other.asked)
 }
 
-// What another gateway no longer keeps is asked of the store at once, and read as a whole only when the
-// store has forgotten it, too.
-func TestOlderRevisionsAreAskedOfTheStore(t *testing.T) {
+// Changes that another gateway no longer retains are requested from the store at once. A full read
+// follows only if the store has compacted them as well.
+func TestOlderRevisionsAreRequestedFromStore(t *testing.T) {
 	var cache watchcache.Cache
 	cache.Reset(100, time.Now(), 0)
 	s := &scripted{changes: kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 90}}, At: 101}}
-	feed := newFeed(s, asks{&cache}, "seat")
+	feed := newFeed(s, cacheSource{&cache}, "seat")
 	page, err := feed.Changes(t.Context(), "", 5, time.Second)
 	require.NoError(t, err)
 	require.Equal(t, s.changes.Pairs, page.Pairs)
@@ -96,17 +96,17 @@
 	require.Zero(t, s.scans)
 }
 
-// While neither the gateways to ask nor the store answer, the store is asked seldom.
-func TestStoreIsAskedSeldomByMany(t *testing.T) {
+// While neither the other gateways nor the store answer, calls to the store stay rare.
+func TestCallsToSilentStoreAreRare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &scripted{err: errLost}
-		feed := newFeed(s, asks{new(watchcache.Cache)}, "seat")
+		feed := newFeed(s, cacheSource{new(watchcache.Cache)}, "seat")
 		for begun := time.Now(); time.Since(begun) < 20*time.Second; {
 			before := s.asked
 			_, err := feed.Changes(t.Context(), "", 5, time.Second)
 			require.Error(t, err)
 			var unasked *kv.UnaskedError
-			require.Equal(t, s.asked == before, errors.As(err, &unasked), "the error says whether the store was asked")
+			require.Equal(t, s.asked == before, errors.As(err, &unasked), "the error reports whether the store was called")
 			time.Sleep(300 * time.Millisecond)
 		}
 		require.GreaterOrEqual(t, s.asked, 4)
@@ -115,9 +115,9 @@
 	})
 }
 
-// Where the first gateway to ask is not there, the second one has the time to answer with
-// its next proof.
-func TestSecondSeatHasTimeToAnswer(t *testing.T) {
+// If the first gateway does not answer, the second one still has enough time to answer with its
+// next proof.
+func TestSecondGatewayHasTimeToAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var cache watchcache.Cache
 		cache.Reset(5, time.Now(), 0)
@@ -126,7 +126,7 @@
 			cache.Add(kv.Page{At: 5}, time.Now(), true, 0)
 		}()
 		s := &scripted{}
-		feed := newFeed(s, halfDead{asks{&cache}}, "dead", "seat")
+		feed := newFeed(s, halfDead{cacheSource{&cache}}, "dead", "seat")
 		feed.Age = func() time.Duration { return 100 * time.Millisecond }
 		page, err := feed.Changes(t.Context(), "", 5, time.Second)
 		require.NoError(t, err)
@@ -135,23 +135,23 @@
 	})
 }
 
-// A proof ages by the clock that goes on while the host is suspended, also for those that ask
-// this gateway.
+// A proof ages by the clock that continues while the host is suspended, also in answers to other
+// gateways.
 func TestProofAgesWhileTheHostIsSuspended(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	cache := watchcache.Cache{Now: func() time.Time { return now }}
 	cache.Reset(5, now, 0)
-	now = now.Add(10 * time.Second) // nothing has run meanwhile
+	now = now.Add(10 * time.Second) // no code ran in between
 	answer, err := cache.Ask(t.Context(), watchcache.Question{After: 5, Age: time.Minute, Wait: time.Second})
 	require.NoError(t, err)
 	require.Equal(t, 10*time.Second, answer.Age)
 }
 
-// patient is a store with no changes that answers when the wait of a question is over.
-type patient struct{ scripted }
+// idleStore is a store without changes that answers at the end of the wait.
+type idleStore struct{ scripted }
 
-func (p *patient) Changes(ctx context.Context, prefix string, revision uint64, wait time.Duration) (kv.Page, error) {
+func (p *idleStore) Changes(ctx context.Context, prefix string, revision uint64, wait time.Duration) (kv.Page, error) {
 	select {
 	case <-ctx.Done():
 		return kv.Page{}, ctx.Err()
@@ -160,13 +160,13 @@
 	return p.scripted.Changes(ctx, prefix, revision, wait)
 }
 
-// A question that waits is asked again at once when it is refreshed: its proof is as young as the
-// second one, and it counts as no failure of the store.
-func TestHurriedQuestionIsAskedAgainAtOnce(t *testing.T) {
+// Refresh repeats a waiting request at once: the proof is as new as the second request, and the
+// interruption does not count as a failure of the store.
+func TestRefreshRepeatsWaitingRequest(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		feed := newFeed(&patient{}, nil)
-		feed.Refresh() // the next question does not wait then
+		feed := newFeed(&idleStore{}, nil)
+		feed.Refresh() // the next request does not wait
 		begun := time.Now()
 		_, err := feed.Changes(t.Context(), "", 5, time.Second)
 		require.NoError(t, err)
@@ -182,39 +182,39 @@
 		require.False(t, feed.Cut(time.Now()))
 		answer, err := feed.Cache.Ask(t.Context(), watchcache.Question{Age: time.Minute})
 		require.NoError(t, err)
-		require.Zero(t, answer.Age, "the proof is that of the second question")
+		require.Zero(t, answer.Age, "the proof belongs to the second request")
 	})
 }
 
-// halfDead is a Source where the gateway named dead does not answer.
-type halfDead struct{ asks }
+// halfDead is a Source in which the gateway "dead" does not answer.
+type halfDead struct{ cacheSource }
 
 func (h halfDead) Ask(ctx context.Context, address string, q watchcache.Question) (watchcache.Answer, error) {
 	if address == "dead" {
 		return watchcache.Answer{}, errLost
 	}
-	return h.asks.Ask(ctx, address, q)
+	return h.cacheSource.Ask(ctx, address, q)
 }
 
-// A watch may miss a change and still answer with a revision beyond it; those who ask this gateway must get it
-// once it has been found.
-func TestChangeMissedByAWatchIsNotRelayed(t *testing.T) {
+// A watch may miss a change and still answer with a later revision. Gateways that query this one
+// must receive the change once a full read has found it.
+func TestChangeMissedByWatchIsRelayedLater(t *testing.T) {
 	for name, at := range map[string]uint64{"at a later revision": 9, "at the same revision": 8} {
 		t.Run(name, func(t *testing.T) {
 			s := &scripted{scan: kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 1}, {Key: "b", Revision: 2}}, At: 2}}
-			seat := newFeed(s, nil)
-			_, err := seat.Scan(t.Context(), "", "")
+			peer := newFeed(s, nil)
+			_, err := peer.Scan(t.Context(), "", "")
 			require.NoError(t, err)
 			s.changes = kv.Page{At: 8}
-			_, err = seat.Changes(t.Context(), "", 2, 0)
+			_, err = peer.Changes(t.Context(), "", 2, 0)
 			require.NoError(t, err)
-			asker := newFeed(&scripted{}, asks{seat.Cache}, "seat")
+			asker := newFeed(&scripted{}, cacheSource{peer.Cache}, "seat")
 			page, err := asker.Changes(t.Context(), "", 2, time.Second)
 			require.NoError(t, err)
 			require.EqualValues(t, 8, page.At)
 
 			s.scan = kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 1}, {Key: "b", Revision: 7}}, At: at}
-			_, err = seat.Scan(t.Context(), "", "")
+			_, err = peer.Scan(t.Context(), "", "")
 			require.NoError(t, err)
 			page, err = asker.Changes(t.Context(), "", 8, time.Second)
 			require.NoError(t, err)
@@ -223,21 +223,21 @@
 	}
 }
 
-// A gateway that has read all by stale pages asks others what has changed since, and the store itself
-// where these no longer know.
-func TestStaleReadingIsBroughtUpToDateByOthers(t *testing.T) {
+// After a full read of stale pages, a gateway requests the changes since then from other gateways,
+// and from the store only if these no longer retain them.
+func TestOtherGatewaysCompleteStaleRead(t *testing.T) {
 	stale := &scripted{scan: kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 9}}, At: 9, More: true}}
-	var seat watchcache.Cache
-	seat.Reset(5, time.Now(), 0)
-	seat.Add(kv.Page{Pairs: []kv.Pair{{Key: "b", Revision: 7}}, At: 9}, time.Now(), true, 0)
-	feed := newFeed(stale, asks{&seat}, "seat")
+	var peer watchcache.Cache
+	peer.Reset(5, time.Now(), 0)
+	peer.Add(kv.Page{Pairs: []kv.Pair{{Key: "b", Revision: 7}}, At: 9}, time.Now(), true, 0)
+	feed := newFeed(stale, cacheSource{&peer}, "seat")
 	_, err := feed.Scan(t.Context(), "", "")
 	require.NoError(t, err)
 	stale.scan = kv.Page{Pairs: []kv.Pair{{Key: "b", Revision: 2}}, At: 5}
 	_, err = feed.ScanStale(t.Context(), "", "a")
 	require.NoError(t, err)
 	_, err = feed.Cache.Ask(t.Context(), watchcache.Question{Age: time.Minute})
-	require.ErrorIs(t, err, watchcache.ErrIndirect, "the pages prove nothing")
+	require.ErrorIs(t, err, watchcache.ErrIndirect, "stale pages yield no proof")
 
 	page, err := feed.Changes(t.Context(), "", 5, 0)
 	require.NoError(t, err)
@@ -245,11 +245,11 @@
 	require.Zero(t, stale.asked)
 }
 
-func TestStaleReadingBeyondTheKeptChangesAsksTheStore(t *testing.T) {
+func TestStoreCompletesStaleReadBeyondRetainedChanges(t *testing.T) {
 	s := &scripted{scan: kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 9}}, At: 9, More: true}}
-	var seat watchcache.Cache
-	seat.Reset(8, time.Now(), 0)
-	feed := newFeed(s, asks{&seat}, "seat")
+	var peer watchcache.Cache
+	peer.Reset(8, time.Now(), 0)
+	feed := newFeed(s, cacheSource{&peer}, "seat")
 	_, err := feed.Scan(t.Context(), "", "")
 	require.NoError(t, err)
 	s.scan = kv.Page{Pairs: []kv.Pair{{Key: "b", Revision: 2}}, At: 5}
@@ -261,15 +261,16 @@
 	require.Equal(t, []kv.Pair{{Key: "b", Revision: 7}}, page.Pairs)
 	require.Equal(t, 1, s.asked)
 
-	// Others are told of the changes that the pages held beyond the revision of the reading, too.
+	// Other gateways also receive the changes that the pages contained beyond the revision of the
+	// read.
 	answer, err := feed.Cache.Ask(t.Context(), watchcache.Question{After: 5, Age: time.Minute})
 	require.NoError(t, err)
 	require.Len(t, answer.Pairs, 2)
 }
 
-// What changes within a second when a large fleet starts is more than the bound in bytes, and is kept for
-// others all the same: before, each of them read the whole store anew.
-func TestStartOfALargeFleetIsKeptForOthers(t *testing.T) {
+// The changes within the first second of a large fleet exceed the bound in bytes and are retained
+// all the same. Otherwise every gateway reads the whole store again.
+func TestChangesOfLargeFleetStartAreRetained(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	cache := watchcache.Cache{Now: func() time.Time { return now }}
@@ -286,11 +287,11 @@
 	now = now.Add(10 * time.Second)
 	cache.Add(kv.Page{Pairs: []kv.Pair{{Key: "another", Revision: 1001}}, At: 1001}, now, true, 0)
 	_, err = cache.Ask(t.Context(), watchcache.Question{Age: time.Minute})
-	require.ErrorIs(t, err, watchcache.ErrForgotten, "what nobody needs any more is bounded in bytes")
+	require.ErrorIs(t, err, watchcache.ErrForgotten, "older changes are bounded in bytes")
 }
 
-// Of a key that is written again and again the newest value alone is kept, and told.
-func TestNewestChangeOfAKeyIsKept(t *testing.T) {
+// Only the newest value of a frequently written key is retained and sent.
+func TestOnlyNewestChangeOfKeyIsRetained(t *testing.T) {
 	t.Parallel()
 	var cache watchcache.Cache
 	cache.Reset(0, time.Now(), 0)
@@ -304,13 +305,14 @@
 	require.EqualValues(t, 20, answer.Pairs[0].Revision)
 }
 
-// A gateway that has heard those that ask the store leaves it to them, though they have no newer proof:
-// when the store forgot its history, each of 469 asked it and then read all anew.
-func TestStoreThatAnswersLateDoesNotMeetTheFleet(t *testing.T) {
+// A gateway whose peers answer leaves the store to them even if they have no newer proof. Without
+// this, each of 469 gateways queried a store that had compacted its history and then read
+// everything again.
+func TestFleetLeavesLateStoreToItsReaders(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := new(scripted)
-		feed := newFeed(s, asks{new(watchcache.Cache)}, "seat", "standby")
+		feed := newFeed(s, cacheSource{new(watchcache.Cache)}, "seat", "standby")
 		feed.Sources = func() ([]string, bool) { return []string{"seat", "standby"}, false }
 		_, err := feed.Changes(t.Context(), "", 5, time.Second)
 		var unasked *kv.UnaskedError
@@ -319,17 +321,17 @@
 
 		feed.LateIn = func() time.Duration { return -time.Second }
 		for begun := time.Now(); time.Since(begun) < 20*time.Second; time.Sleep(300 * time.Millisecond) {
-			_, _ = feed.Changes(t.Context(), "", 5, time.Second) // whether it asks is counted
+			_, _ = feed.Changes(t.Context(), "", 5, time.Second) // only the number of calls matters
 		}
-		require.GreaterOrEqual(t, s.asked, 1, "those that are heard may take others for the ones to ask")
+		require.GreaterOrEqual(t, s.asked, 1, "the gateways of a hall may disagree on which of them query the store")
 		require.LessOrEqual(t, s.asked, 2)
 	})
 }
 
-// heard is a Source that notes whom it asks; nobody answers.
-type heard struct{ list []string }
+// recordingSource is a Source that records the addresses queried and never answers.
+type recordingSource struct{ list []string }
 
-func (h *heard) Ask(_ context.Context, address string, _ watchcache.Question) (watchcache.Answer, error) {
+func (h *recordingSource) Ask(_ context.Context, address string, _ watchcache.Question) (watchcache.Answer, error) {
 	h.list = append(h.list, address)
 	if address == "dead" {
 		return watchcache.Answer{}, errLost
@@ -337,36 +339,37 @@
 	return watchcache.Answer{}, watchcache.ErrNoNews
 }
 
-func TestSilentGatewayIsAskedLast(t *testing.T) {
+func TestSilentGatewayIsQueriedLast(t *testing.T) {
 	t.Parallel()
-	from := new(heard)
+	from := new(recordingSource)
 	feed := newFeed(new(scripted), from, "dead", "seat")
 	for range 2 {
-		_, _ = feed.Changes(t.Context(), "", 5, time.Second) // whom it asks is noted
+		_, _ = feed.Changes(t.Context(), "", 5, time.Second) // only the recorded addresses matter
 	}
 	require.Equal(t, []string{"dead", "seat", "seat", "dead"}, from.list)
 }
 
-// mute is a store that never answers a question that waits, and with deaf none for changes.
-type mute struct {
+// hangingStore is a store that never answers a request with a wait; if always is set, it answers
+// no request for changes.
+type hangingStore struct {
 	scripted
-	deaf bool
+	always bool
 }
 
-func (m *mute) Changes(ctx context.Context, prefix string, revision uint64, wait time.Duration) (kv.Page, error) {
-	if wait > 0 || m.deaf {
+func (m *hangingStore) Changes(ctx context.Context, prefix string, revision uint64, wait time.Duration) (kv.Page, error) {
+	if wait > 0 || m.always {
 		<-ctx.Done()
 		return kv.Page{}, ctx.Err()
 	}
 	return m.scripted.Changes(ctx, prefix, revision, wait)
 }
 
-// A question that waits is asked anew when its answer is overdue: a store that forgets its history leaves
-// it without one, and the proofs of the whole hall get old meanwhile.
-func TestOverdueQuestionIsAskedAnew(t *testing.T) {
+// A waiting request whose answer is overdue is repeated. A store that compacts its history leaves
+// such a request unanswered, and meanwhile the freshness proofs of the whole hall become old.
+func TestOverdueRequestIsRepeated(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		feed := newFeed(&mute{}, nil)
+		feed := newFeed(&hangingStore{}, nil)
 		begun := time.Now()
 		_, err := feed.Changes(t.Context(), "", 5, time.Second)
 		require.NoError(t, err)
@@ -375,12 +378,12 @@
 	})
 }
 
-// Where the question that is asked anew has no answer either, all is read, before the proofs of the hall
-// are old.
-func TestStoreThatIsDeafToQuestionsIsReadAnew(t *testing.T) {
+// If the repeated request gets no answer either, everything is read again before the freshness
+// proofs of the hall become old.
+func TestUnansweredRepeatCausesFullRead(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		feed := newFeed(&mute{deaf: true}, nil)
+		feed := newFeed(&hangingStore{always: true}, nil)
 		begun := time.Now()
 		_, err := feed.Changes(t.Context(), "", 5, time.Second)
 		var compacted *kv.CompactedError
