--- a/role/quarantine/quarantine.go
+++ b/role/quarantine/quarantine.go
@@ -1,7 +1,7 @@
-// Package quarantine keeps requests from endpoints when several endpoints have ended under
-// them. A request comes again under another ID and at any gateway, so each gateway tells what
-// ended under which request to a few that keep count for all; their verdict goes to the others
-// with digests and to the store, where it outlives the gateways.
+// Package quarantine blocks requests that make endpoints crash. A caller may retry such a request with
+// another ID and at any gateway, so each gateway reports the requests under which an endpoint has ended
+// to a few keepers that count for all. The verdict spreads with digests, and to the store, where it
+// outlives the gateways.
 package quarantine
 
 import (
@@ -19,92 +19,92 @@
 	wire "github.com/grademill/grademill/wire/gossip"
 )
 
-// The figures of the quarantine.
+// Thresholds, times and limits of the quarantine.
 const (
-	// enoughEnds is the number of endpoints that must have ended under a request before it is
-	// kept from the others. Crashes that have nothing to do with a request hit the same one
-	// twice where many endpoints end in a row, seldom three times within a second of its start.
-	enoughEnds = 3
-	// enoughUntried is the number that must have ended while none of them was an end of a try
-	// apart from all other suspects. What comes at the same time at many gateways, beside one
-	// that ends endpoints, may be at an end more each until the fleet knows of the second.
-	enoughUntried = 6
-	// toldFrom is the number of ends from which all gateways are told of a request: whichever
-	// sees it run to its end says so.
-	toldFrom = 2
-	// triedFrom is the number of ends from which a request is tried apart from the others.
-	triedFrom = toldFrom
-	// lasts is how long a request is kept from endpoints, and how long an end counts: the
-	// longest lease that the store grants.
-	lasts = 10 * time.Minute
-	// confirmTime is how long ends that others tell of are checked for.
+	// minEnds is the number of endpoints that must have ended under a request before it is
+	// quarantined, if it was isolated in at least one of these ends. Unrelated crashes hit the same
+	// request twice where many endpoints end in a row, but seldom three times within a second of its
+	// start.
+	minEnds = 3
+	// minEndsUnisolated is the number of ends required if the request was isolated in none of them.
+	// Requests that arrive at many gateways together with a crashing one may count one more end each
+	// until the fleet knows of their second.
+	minEndsUnisolated = 6
+	// reportFrom is the number of ends from which a request is reported to all gateways, so that any
+	// that sees it complete can report that.
+	reportFrom = 2
+	// isolateFrom is the number of ends from which a request is isolated from other suspects.
+	isolateFrom = reportFrom
+	// quarantineTime is how long a request is quarantined, and how long an end counts: the longest lease
+	// that the store grants.
+	quarantineTime = 10 * time.Minute
+	// confirmTime is how long ends that others report may take to be confirmed.
 	confirmTime = 3 * time.Second
-	// toldTime is how long the word of others on the number of ends counts: a few digests, also
-	// in a large fleet.
-	toldTime = 3 * time.Second
-	// leastLeft is the least time for which the word of others that a request is kept from
-	// endpoints is taken over: what is left grows by the way of each digest, and would never end.
-	leastLeft = time.Second
-	// mostTold bounds the requests in a digest, some 20 bytes each.
-	mostTold = 64
-	// maxWrites bounds the requests whose write to the store is not begun.
-	maxWrites = 256
+	// reportLifetime is how long the number of ends that others report counts: a few digest intervals,
+	// also in a large fleet.
+	reportLifetime = 3 * time.Second
+	// minRemaining is the shortest remaining time with which a reported quarantine is adopted. Each
+	// digest adds its transmission time to the rest, so without this bound a quarantine would never end.
+	minRemaining = time.Second
+	// maxReported limits the requests in a digest, some 20 bytes each.
+	maxReported = 64
+	// maxPendingWrites limits the requests that wait to be written to the store.
+	maxPendingWrites = 256
 )
 
-// The events, as the metrics name them.
+// Values of the event label of metrics.
 const (
-	eventEnd   = "endpoint ended under request"
-	eventBegun = "begun"
-	eventTold  = "told by others"
+	eventEnd      = "endpoint ended under request"
+	eventBegun    = "begun"
+	eventReported = "told by others"
 )
 
-// Quarantine is one gateway's part. Set the exported fields and call Init before anything
-// else.
+// Quarantine is the quarantine of one gateway. Set the exported fields and call Init before anything else.
 type Quarantine struct {
 	// Self is the gateway's name.
 	Self string
-	// Keepers returns the gateways that keep count for a key.
+	// Keepers returns the gateways that count the ends of the request with the given key.
 	Keepers func(key string) []overlay.Member
-	// Tell sends a datagram to gateways, News has a digest sent soon.
+	// Tell sends a datagram to gateways, News causes a digest to be sent soon.
 	Tell func(e *wire.Ends, to ...overlay.Member)
 	News func()
-	// Over reports whether a life of an endpoint has surely ended, and has one that may live
-	// checked.
+	// Over reports whether an incarnation of an endpoint has certainly ended. If it may still be
+	// running, Over has it checked.
 	Over func(suspects.Life) bool
-	// Store keeps what is in quarantine.
+	// Store keeps the quarantined requests.
 	Store Store
 	// Count counts an event.
 	Count func(event string)
 	Log   zerolog.Logger
 
-	known  suspects.Suspects
-	writes chan fingerprint.Fingerprint
+	suspects suspects.Suspects
+	writes   chan fingerprint.Fingerprint
 
 	mu sync.Mutex // guards what follows
-	// again is what is told once more: a datagram may be lost.
-	again []message
-	// doubtful are requests with enough ends that are not all sure, until when these are
-	// checked.
-	doubtful map[fingerprint.Fingerprint]time.Time
-	// stored are those that the store holds.
+	// resends are the datagrams to be sent once more, since a datagram may be lost.
+	resends []message
+	// unconfirmed are the requests with enough ends of which some are not confirmed, with the time
+	// until which these are checked.
+	unconfirmed map[fingerprint.Fingerprint]time.Time
+	// stored are the requests that the store holds.
 	stored map[fingerprint.Fingerprint]bool
 }
 
-// message is a datagram on its way.
+// message is a datagram and its recipient.
 type message struct {
 	ends *wire.Ends
 	to   overlay.Member
 }
 
-// Init prepares for the other methods.
+// Init initializes the quarantine; call it before any other method.
 func (q *Quarantine) Init() {
-	q.known.Lasts, q.known.SuspectFrom = lasts, triedFrom
-	q.writes = make(chan fingerprint.Fingerprint, maxWrites)
-	q.doubtful = make(map[fingerprint.Fingerprint]time.Time)
+	q.suspects.Lasts, q.suspects.SuspectFrom = quarantineTime, isolateFrom
+	q.writes = make(chan fingerprint.Fingerprint, maxPendingWrites)
+	q.unconfirmed = make(map[fingerprint.Fingerprint]time.Time)
 	q.stored = make(map[fingerprint.Fingerprint]bool)
 }
 
-// Run writes to the store what this gateway puts in quarantine, until ctx ends.
+// Run writes the requests that this gateway quarantines to the store, until ctx ends.
 func (q *Quarantine) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -113,55 +113,55 @@
 		case <-ctx.Done():
 			return
 		case f := <-q.writes:
-			group.Go(func() { q.keep(ctx, f) })
+			group.Go(func() { q.persist(ctx, f) })
 		}
 	}
 }
 
-// Left returns how much longer a request is kept from endpoints at now, 0 when it is not.
+// Left returns how much longer a request is quarantined at now, 0 if it is not.
 func (q *Quarantine) Left(f fingerprint.Fingerprint, now time.Time) time.Duration {
-	return q.known.Barred(f, now)
+	return q.suspects.Barred(f, now)
 }
 
-// Report notes that a life of an endpoint has surely ended under requests that it had just
-// begun to run, and tells those that keep count.
-func (q *Quarantine) Report(life suspects.Life, begun []suspects.Begun, now time.Time) {
+// Report notes that an incarnation of an endpoint has certainly ended under requests that it had just
+// begun to run, and notifies their keepers.
+func (q *Quarantine) Report(incarnation suspects.Life, begun []suspects.Begun, now time.Time) {
 	for _, b := range begun {
 		q.Count(eventEnd)
-		if _, keeps := q.turn(b.Print); keeps {
-			q.note(b.Print, suspects.End{Life: life, Tried: b.Tried}, now)
+		if _, keeps := q.keeperRank(b.Print); keeps {
+			q.record(b.Print, suspects.End{Life: incarnation, Tried: b.Tried}, now)
 			continue
 		}
-		// Only those that keep count hear when the request runs to its end elsewhere.
-		q.known.Hear(b.Print, q.known.Ends(b.Print, now)+1, true, now, now.Add(toldTime))
+		// Only the keepers hear when the request completes elsewhere, so this count expires.
+		q.suspects.Hear(b.Print, q.suspects.Ends(b.Print, now)+1, true, now, now.Add(reportLifetime))
 	}
-	q.tell(life, begun)
+	q.notifyKeepers(incarnation, begun)
 }
 
-// Suspected reports whether a request is to be tried apart from all others that are.
+// Suspected reports whether a request must be isolated from all other suspects.
 func (q *Quarantine) Suspected(f fingerprint.Fingerprint, now time.Time) bool {
-	return q.known.Ends(f, now) >= triedFrom
+	return q.suspects.Ends(f, now) >= isolateFrom
 }
 
-// Arrived notes that a request that is to be tried has come.
+// Arrived notes that a suspected request has arrived.
 func (q *Quarantine) Arrived(f fingerprint.Fingerprint, now time.Time) {
-	q.known.Arrived(f, now)
+	q.suspects.Arrived(f, now)
 }
 
-// Suspects returns the requests that are tried at now, or soon, apart from each other.
+// Suspects returns the requests that run isolated from each other at now, or will soon.
 func (q *Quarantine) Suspects(now time.Time) []fingerprint.Fingerprint {
-	return q.known.Recent(now)
+	return q.suspects.Recent(now)
 }
 
-// Survived notes that a request has run to its end.
+// Survived notes that a request has completed.
 func (q *Quarantine) Survived(f fingerprint.Fingerprint, now time.Time) {
-	if q.known.Clear(f, now) {
-		q.tell(suspects.Life{}, []suspects.Begun{{Print: f}})
+	if q.suspects.Clear(f, now) {
+		q.notifyKeepers(suspects.Life{}, []suspects.Begun{{Print: f}})
 	}
 }
 
-// tell tells those that keep count, and once more at the next Tick.
-func (q *Quarantine) tell(life suspects.Life, begun []suspects.Begun) {
+// notifyKeepers sends the ends to the keepers of the requests, and once more at the next Tick.
+func (q *Quarantine) notifyKeepers(incarnation suspects.Life, begun []suspects.Begun) {
 	to := make(map[string]message)
 	for _, b := range begun {
 		for _, m := range q.Keepers(b.Print.String()) {
@@ -169,7 +169,7 @@
 				continue
 			}
 			if _, known := to[m.Name]; !known {
-				to[m.Name] = message{&wire.Ends{Gateway: q.Self, Endpoint: life.Endpoint, Born: life.Born}, m}
+				to[m.Name] = message{&wire.Ends{Gateway: q.Self, Endpoint: incarnation.Endpoint, Born: incarnation.Born}, m}
 			}
 			ends := to[m.Name].ends
 			ends.Prints = append(ends.Prints, uint64(b.Print))
@@ -181,28 +181,28 @@
 	for _, one := range to {
 		q.Tell(one.ends, one.to)
 		q.mu.Lock()
-		q.again = append(q.again, one)
+		q.resends = append(q.resends, one)
 		q.mu.Unlock()
 	}
 }
 
-// Hear takes in what another gateway tells those that keep count.
+// Hear processes ends and completions that another gateway reports to the keepers.
 func (q *Quarantine) Hear(e *wire.Ends, now time.Time) {
 	for _, p := range e.GetPrints() {
 		if e.GetEndpoint() == "" {
-			q.known.Clear(fingerprint.Fingerprint(p), now)
+			q.suspects.Clear(fingerprint.Fingerprint(p), now)
 			continue
 		}
-		life := suspects.Life{Endpoint: e.GetEndpoint(), Born: e.GetBorn()}
-		q.note(fingerprint.Fingerprint(p), suspects.End{Life: life, Tried: slices.Contains(e.GetTried(), p)}, now)
+		incarnation := suspects.Life{Endpoint: e.GetEndpoint(), Born: e.GetBorn()}
+		q.record(fingerprint.Fingerprint(p), suspects.End{Life: incarnation, Tried: slices.Contains(e.GetTried(), p)}, now)
 	}
 }
 
-// Tick tells again what was told since the last one, and looks at the doubtful requests.
+// Tick repeats the datagrams sent since the previous Tick, and reviews the unconfirmed requests.
 func (q *Quarantine) Tick(now time.Time) {
 	q.mu.Lock()
-	again := q.again
-	q.again = nil
+	again := q.resends
+	q.resends = nil
 	q.mu.Unlock()
 	for _, one := range again {
 		q.Tell(one.ends, one.to)
@@ -210,70 +210,70 @@
 	q.Review(now)
 }
 
-// Review looks at the doubtful requests again: an endpoint has been checked.
+// Review evaluates the unconfirmed requests again. Call it when an endpoint has been checked.
 func (q *Quarantine) Review(now time.Time) {
 	q.mu.Lock()
-	var doubtful []fingerprint.Fingerprint
-	for f, until := range q.doubtful {
+	var unconfirmed []fingerprint.Fingerprint
+	for f, until := range q.unconfirmed {
 		if now.After(until) {
-			delete(q.doubtful, f)
+			delete(q.unconfirmed, f)
 			continue
 		}
-		doubtful = append(doubtful, f)
+		unconfirmed = append(unconfirmed, f)
 	}
 	q.mu.Unlock()
-	for _, f := range doubtful {
-		q.judge(f, q.known.Known(f, now), now)
+	for _, f := range unconfirmed {
+		q.evaluate(f, q.suspects.Known(f, now), now)
 	}
 }
 
-// note notes an end, and judges the request anew.
-func (q *Quarantine) note(f fingerprint.Fingerprint, e suspects.End, now time.Time) {
-	ends := q.known.Note(f, e, now)
-	if len(ends) == toldFrom {
-		q.News() // it is tried apart as soon as all know
+// record adds an end and evaluates the request again.
+func (q *Quarantine) record(f fingerprint.Fingerprint, e suspects.End, now time.Time) {
+	ends := q.suspects.Note(f, e, now)
+	if len(ends) == reportFrom {
+		q.News() // the request is isolated once all gateways know
 	}
-	q.judge(f, ends, now)
+	q.evaluate(f, ends, now)
 }
 
-// enough reports whether ends show that it is the request that brings them about.
+// enough reports whether ends show that the request causes them.
 func enough(ends []suspects.End) bool {
 	tried := slices.ContainsFunc(ends, func(e suspects.End) bool { return e.Tried })
-	return len(ends) >= enoughUntried || tried && len(ends) >= enoughEnds
+	return len(ends) >= minEndsUnisolated || tried && len(ends) >= minEnds
 }
 
-// judge puts a request into quarantine when enough lives have surely ended under it. The
-// word of a gateway that is cut off is no proof: to it all endpoints seem to have ended.
-func (q *Quarantine) judge(f fingerprint.Fingerprint, ends []suspects.End, now time.Time) {
-	if !enough(ends) || q.known.Barred(f, now) > 0 {
+// evaluate quarantines a request when enough incarnations have certainly ended under it. A report by a
+// gateway that is cut off proves nothing: to it all endpoints seem to have ended.
+func (q *Quarantine) evaluate(f fingerprint.Fingerprint, ends []suspects.End, now time.Time) {
+	if !enough(ends) || q.suspects.Barred(f, now) > 0 {
 		return
 	}
-	var sure []suspects.End
+	var confirmed []suspects.End
 	for _, e := range ends {
 		if q.Over(e.Life) {
-			sure = append(sure, e)
+			confirmed = append(confirmed, e)
 		}
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !enough(sure) {
-		if _, known := q.doubtful[f]; !known {
-			q.doubtful[f] = now.Add(confirmTime)
+	if !enough(confirmed) {
+		if _, known := q.unconfirmed[f]; !known {
+			q.unconfirmed[f] = now.Add(confirmTime)
 		}
 		return
 	}
-	delete(q.doubtful, f)
-	if !q.known.Bar(f, now, now.Add(lasts)) {
+	delete(q.unconfirmed, f)
+	if !q.suspects.Bar(f, now, now.Add(quarantineTime)) {
 		return
 	}
 	q.Count(eventBegun)
-	q.Log.Warn().Stringer("print", f).Strs("ended", texts(sure)).Dur("lasts_ms", lasts).Msg("request is quarantined")
+	q.Log.Warn().Stringer("print", f).Strs("ended", formatEnds(confirmed)).Dur("lasts_ms", quarantineTime).Msg("request is quarantined")
 	q.News()
 	q.write(f)
 }
 
-// texts returns the lives of ends as the log writes them, with those of tries marked.
-func texts(ends []suspects.End) []string {
+// formatEnds returns ends as written to the log, with those marked in which the request was isolated.
+func formatEnds(ends []suspects.End) []string {
 	list := make([]string, 0, len(ends))
 	for _, e := range ends {
 		text := e.String()
@@ -285,44 +285,43 @@
 	return list
 }
 
-// Told returns what a digest of now tells of the quarantine.
+// Told returns the suspected and quarantined requests for a digest sent at now.
 func (q *Quarantine) Told(now time.Time) []*wire.Suspect {
-	list := q.known.List(toldFrom, mostTold, now)
-	told := make([]*wire.Suspect, 0, len(list))
+	list := q.suspects.List(reportFrom, maxReported, now)
+	reports := make([]*wire.Suspect, 0, len(list))
 	for _, s := range list {
-		told = append(told, &wire.Suspect{
+		reports = append(reports, &wire.Suspect{
 			Print: uint64(s.Print), Ends: uint32(s.Ends), LeftMillis: uint32(s.Left.Milliseconds()), Recent: s.Recent,
 		})
 	}
-	return told
+	return reports
 }
 
-// Adopt takes in what a digest of another gateway tells.
+// Adopt processes the suspected and quarantined requests in a digest of another gateway.
 func (q *Quarantine) Adopt(list []*wire.Suspect, from string, now time.Time) {
 	for _, s := range list {
 		f := fingerprint.Fingerprint(s.GetPrint())
 		if s.GetEnds() > 0 {
-			q.known.Hear(f, int(s.GetEnds()), s.GetRecent(), now, now.Add(toldTime))
+			q.suspects.Hear(f, int(s.GetEnds()), s.GetRecent(), now, now.Add(reportLifetime))
 		}
-		left := min(time.Duration(s.GetLeftMillis())*time.Millisecond, lasts)
-		if left >= leastLeft {
+		left := min(time.Duration(s.GetLeftMillis())*time.Millisecond, quarantineTime)
+		if left >= minRemaining {
 			q.adopt(f, left, from, now)
 		}
 	}
 }
 
-// adopt puts a request into quarantine by the word of others.
+// adopt quarantines a request on the report of another gateway or of the store.
 func (q *Quarantine) adopt(f fingerprint.Fingerprint, left time.Duration, from string, now time.Time) {
-	if !q.known.Bar(f, now, now.Add(left)) {
+	if !q.suspects.Bar(f, now, now.Add(left)) {
 		return
 	}
-	q.Count(eventTold)
+	q.Count(eventReported)
 	q.Log.Warn().Stringer("print", f).Str("by", from).Dur("lasts_ms", left).Msg("request is quarantined by the word of others")
 }
 
-// turn returns how many of those that keep count of a request come before this gateway, and
-// reports whether it is one of them.
-func (q *Quarantine) turn(f fingerprint.Fingerprint) (int, bool) {
+// keeperRank returns how many keepers of a request rank before this gateway, and whether it is one.
+func (q *Quarantine) keeperRank(f fingerprint.Fingerprint) (int, bool) {
 	list := q.Keepers(f.String())
 	i := slices.IndexFunc(list, func(m overlay.Member) bool { return m.Name == q.Self })
 	if i < 0 {
@@ -331,8 +330,8 @@
 	return i, true
 }
 
-// wait waits for a time, and reports whether the request is still to be written then.
+// wait waits for d, and reports whether the request must still be written to the store then.
 func (q *Quarantine) wait(ctx context.Context, f fingerprint.Fingerprint, d time.Duration) bool {
 	pause.For(ctx, d)
-	return ctx.Err() == nil && !q.isStored(f) && q.known.Barred(f, time.Now()) > 0
+	return ctx.Err() == nil && !q.isStored(f) && q.suspects.Barred(f, time.Now()) > 0
 }
