--- a/role/partition/detector.go
+++ b/role/partition/detector.go
@@ -1,5 +1,5 @@
-// Package partition tells whether a gateway alone has lost the store while others have it, or all
-// have: its callers are better off elsewhere in the former case only.
+// Package partition detects whether a gateway alone has lost its connection to the store or whether all
+// gateways have. Only in the former case should its callers go to another gateway.
 package partition
 
 import (
@@ -15,63 +15,63 @@
 	"github.com/grademill/grademill/wire/gossip"
 )
 
-// The figures of a gateway that has lost the store while others have it.
+// Times of a gateway that has lost the store while others have it.
 const (
-	// balancerNotice is how long the balancer may lead new callers to a gateway
-	// that is not ready: two questions, a second apart.
-	balancerNotice = 2200 * time.Millisecond
-	// comeBackNow is when a caller is told to come back that another gateway will
-	// serve: a new connection takes a few milliseconds.
-	comeBackNow = 30 * time.Millisecond
-	// refreshWait is how long the store may take to answer a question that is asked again
-	// since the proof is late, before the others are told: a slow store takes some 300 ms.
-	refreshWait = 300 * time.Millisecond
-	// refreshRest is the least time between two questions that are asked at once since a proof
-	// is late or other gateways have lost the store: when many lose it, or all start together,
-	// it is not to meet a question of each gateway for each other one.
-	refreshRest = 2 * time.Second
-	// outageFresh is how long another gateway's word of an outage counts: several digests of
+	// balancerDetectTime is how long the load balancer may still route new callers to a gateway that is not
+	// ready: two health checks, one second apart.
+	balancerDetectTime = 2200 * time.Millisecond
+	// minRetryAfter is the Retry-After delay of a caller that another gateway will serve: a new connection
+	// takes a few milliseconds.
+	minRetryAfter = 30 * time.Millisecond
+	// refreshTimeout is how long the store may take to answer the additional query that follows a late
+	// proof before an outage is reported to the others: a slow store takes some 300 ms.
+	refreshTimeout = 300 * time.Millisecond
+	// minRefreshInterval is the minimum time between two additional queries because a proof is late or other
+	// gateways have lost the store. When many gateways lose it, or all start together, each would otherwise
+	// query the store once for every other gateway.
+	minRefreshInterval = 2 * time.Second
+	// outageLifetime is how long an outage reported by another gateway counts: several digest intervals of
 	// the largest hall.
-	outageFresh = 5 * time.Second
-	// sumWay is how much younger the proof in the sums of another hall may seem, since they
-	// pass through two more gateways, each of which may be held up. Sums name no outages.
-	sumWay = 300 * time.Millisecond
+	outageLifetime = 5 * time.Second
+	// summaryDelay is how much younger the proof in another hall's summary may seem: the summary passes
+	// through two more gateways, each of which may be starved of processor time. Summaries name no outages.
+	summaryDelay = 300 * time.Millisecond
 )
 
-// Detector finds out whether this gateway alone has lost the store. Set the exported fields and
-// call Init before anything else.
+// Detector detects whether this gateway alone has lost the store. Set the exported fields and call Init
+// before anything else.
 type Detector struct {
 	// Hall is the gateway's data hall.
 	Hall string
-	// Policy says from which age on a proof is late.
+	// Policy defines the age from which a freshness proof is late.
 	Policy freshness.Policy
-	// Peers are the other gateways.
+	// Peers holds the other gateways.
 	Peers *peers.Table
-	// Age returns the age of this gateway's proof, and Proven the time of it by Clock.
+	// Age returns the age of this gateway's freshness proof, and Proven its time by Clock.
 	Age    func() time.Duration
 	Proven func() time.Time
-	// Loaded is set once the store has been read, Failing while calls of it fail.
+	// Loaded is true once the store has been read, Failing while calls to it fail.
 	Loaded, Failing *atomic.Bool
-	// Refresh has the store asked at once whether it is there.
+	// Refresh queries the store immediately to check whether it answers.
 	Refresh func()
-	// Clock reads the clock of proofs.
+	// Clock reads the clock by which freshness proofs are dated.
 	Clock func() time.Time
 	Log   zerolog.Logger
 
 	outages outages.Outages
-	// refreshedAt is when the store was last asked at once, in nanoseconds of Unix time.
+	// refreshedAt is the time of the last additional query, in nanoseconds of Unix time.
 	refreshedAt atomic.Int64
-	// aloneSince is when this gateway was found to have lost the store alone, in nanoseconds of
-	// Unix time; 0 when it has not.
+	// aloneSince is when this gateway was found to have lost the store alone, in nanoseconds of Unix time;
+	// 0 if it has not.
 	aloneSince atomic.Int64
-	// lateSince is when the proof was first late though no call has failed, outageSince when the
-	// outage was told to the others; zero when it is not so. Only Tick uses them.
+	// lateSince is when the proof was first late though no call had failed, outageSince when the outage was
+	// first reported to the others; both are zero otherwise. Only Tick uses them.
 	lateSince, outageSince time.Time
 }
 
-// Init prepares for the other methods.
+// Init initializes the detector; call it before any other method.
 func (d *Detector) Init() {
-	d.outages.Fresh = outageFresh
+	d.outages.Fresh = outageLifetime
 }
 
 // Alone reports whether this gateway alone has lost the store.
@@ -84,16 +84,16 @@
 	return d.outages.Any(d.Clock())
 }
 
-// Hear takes in the outage that another gateway tells of, 0 for none. When it is new, this one
-// asks the store at once: the other one must know within a fraction of a second whether its
-// callers are better off elsewhere.
+// Hear processes an outage that another gateway reports, 0 for none. If the outage is new, Hear queries the
+// store immediately: the other gateway must know within a fraction of a second whether to send its callers
+// elsewhere.
 func (d *Detector) Hear(from string, number uint64, now time.Time) {
 	if d.outages.Hear(from, number, d.Clock()) && d.Loaded.Load() && !d.Failing.Load() {
 		d.refresh(now)
 	}
 }
 
-// Tell adds to a digest of this gateway its own outage, and those that it knows to be partial.
+// Tell adds to this gateway's digest its own outage and those that it knows to be partial.
 func (d *Detector) Tell(digest *gossip.Digest) {
 	digest.Outage = d.outages.Own()
 	if digest.GetProven() {
@@ -101,10 +101,11 @@
 	}
 }
 
-// Tick judges anew at now. When all gateways have lost the store, callers have nowhere to go.
+// Tick updates the verdict at now. Alone stays false if all gateways have lost the store: callers then have
+// nowhere to go.
 func (d *Detector) Tick(now time.Time) {
 	late := d.Loaded.Load() && d.Policy.Late(d.Age(), d.Failing.Load())
-	d.noteOutage(late, now)
+	d.updateOutage(late, now)
 	holder, held := d.holder(now)
 	alone := late && held
 	if alone == d.Alone() {
@@ -127,9 +128,9 @@
 	line.Msg("whether this gateway alone has lost the store")
 }
 
-// Elsewhere returns when a caller that this gateway cannot serve for want of the store should
-// come back, to be served by another one: at once when that is in the same hall, and otherwise
-// when the balancer has noticed. It returns false when no other one has the store either.
+// Elsewhere returns the Retry-After delay for a caller that this gateway cannot serve for lack of the store
+// but another one can: minimal if that one is in the same hall, and otherwise until the load balancer has
+// noticed. It returns false if no other gateway has the store.
 func (d *Detector) Elsewhere(now time.Time) (time.Duration, bool) {
 	since := d.aloneSince.Load()
 	if since == 0 {
@@ -137,24 +138,24 @@
 	}
 	for _, p := range d.Peers.Proofs() {
 		if p.From.Hall == d.Hall && d.Policy.Serves(now.Sub(p.At)) {
-			return comeBackNow, true
+			return minRetryAfter, true
 		}
 	}
-	return max(time.Unix(0, since).Add(balancerNotice).Sub(now), comeBackNow), true
+	return max(time.Unix(0, since).Add(balancerDetectTime).Sub(now), minRetryAfter), true
 }
 
-// refresh has the store asked at once, unless that was done lately.
+// refresh queries the store immediately, unless it did so within minRefreshInterval.
 func (d *Detector) refresh(now time.Time) {
 	last := d.refreshedAt.Load()
-	if now.UnixNano()-last >= int64(refreshRest) && d.refreshedAt.CompareAndSwap(last, now.UnixNano()) {
+	if now.UnixNano()-last >= int64(minRefreshInterval) && d.refreshedAt.CompareAndSwap(last, now.UnixNano()) {
 		d.Refresh()
 	}
 }
 
-// noteOutage begins or ends the outage that this gateway tells of. A call that failed begins
-// one. A proof that is merely late does when the store has not answered another question
-// either: the process may have been held up, or one connection.
-func (d *Detector) noteOutage(late bool, now time.Time) {
+// updateOutage begins or ends the outage that this gateway reports. A failed call begins one. A late proof
+// alone begins one only if the store has not answered an additional query either: the process may have been
+// starved of processor time, or a single connection may be broken.
+func (d *Detector) updateOutage(late bool, now time.Time) {
 	failing := d.Failing.Load()
 	if !late && !failing {
 		d.lateSince, d.outageSince = time.Time{}, time.Time{}
@@ -165,7 +166,7 @@
 		d.lateSince = now
 		d.refresh(now)
 	}
-	if !failing && now.Sub(d.lateSince) < refreshWait || !d.outages.Begin() {
+	if !failing && now.Sub(d.lateSince) < refreshTimeout || !d.outages.Begin() {
 		return
 	}
 	d.outageSince = now
@@ -173,15 +174,15 @@
 		Msg("this gateway has lost the store, and asks the others whether they have it")
 }
 
-// holder returns the proof of a gateway that has the store though this one has lost it.
+// holder returns the freshness proof of a gateway that has the store though this one has lost it.
 func (d *Detector) holder(now time.Time) (peers.Proof, bool) {
 	own := d.outages.Own()
 	if own == 0 {
 		return peers.Proof{}, false
 	}
 	for _, p := range d.Peers.Proofs() {
-		// What was proven before the loss says nothing: that gateway may have lost the store, too.
-		answered := slices.Contains(p.Partial, own) || p.Members > 0 && p.At.After(d.outageSince.Add(sumWay))
+		// A proof from before the loss shows nothing: that gateway may have lost the store, too.
+		answered := slices.Contains(p.Partial, own) || p.Members > 0 && p.At.After(d.outageSince.Add(summaryDelay))
 		if answered && !d.Policy.Late(now.Sub(p.At), false) {
 			return p, true
 		}
--- a/role/partition/detector_test.go
+++ b/role/partition/detector_test.go
@@ -15,20 +15,20 @@
 	"github.com/grademill/grademill/wire/gossip"
 )
 
-// The gateway of the tests and its age of proof: calls fail, and it is late.
+// The gateway under test. Its proof is late and its calls to the store fail.
 var (
-	self = overlay.Member{Name: "self", Hall: "north"}
-	late = 2 * time.Second
+	self    = overlay.Member{Name: "self", Hall: "north"}
+	lateAge = 2 * time.Second
 )
 
-// Who has the store is told by what comes back for this gateway's outage, and for another hall,
-// whose sums name none, by a proof from well after it.
+// Another gateway has the store if it answers this gateway's outage. The summary of another hall names no
+// outages, so it counts only with a proof from well after the outage was reported.
 func TestAlone(t *testing.T) {
 	for name, c := range map[string]struct {
 		hall    string
 		members int
 		answers bool
-		proven  time.Duration // after the outage was told
+		proven  time.Duration // after the outage was reported
 		alone   bool
 	}{
 		"another one, before":           {hall: "north", proven: -time.Second},
@@ -46,7 +46,7 @@
 			table := &peers.Table{Counter: func(string) peers.Counter { return nil }}
 			d := &partition.Detector{
 				Hall: self.Hall, Policy: freshness.Policy{Revocation: 5 * time.Second}, Peers: table,
-				Age: func() time.Duration { return late }, Proven: func() time.Time { return begun.Add(-late) },
+				Age: func() time.Duration { return lateAge }, Proven: func() time.Time { return begun.Add(-lateAge) },
 				Loaded: &loaded, Failing: &failing, Refresh: func() {}, Clock: time.Now, Log: zerolog.Nop(),
 			}
 			d.Init()
@@ -67,34 +67,34 @@
 			d.Tick(now)
 			require.Equal(t, c.alone, d.Alone())
 			failing.Store(false)
-			d.Age = func() time.Duration { return late / 2 }
+			d.Age = func() time.Duration { return lateAge / 2 }
 			d.Tick(now)
-			require.False(t, d.Alone(), "it has the store again")
+			require.False(t, d.Alone(), "the store answers again")
 		})
 	}
 }
 
-// A late proof alone is asked for again before the others hear of an outage.
-func TestLateProofIsAskedForFirst(t *testing.T) {
+// A proof that is late while no call fails leads to an additional query before an outage is reported.
+func TestLateProofIsRefreshedBeforeOutage(t *testing.T) {
 	begun := time.Now()
 	var loaded, failing atomic.Bool
 	loaded.Store(true)
 	asked := 0
 	d := &partition.Detector{
 		Policy: freshness.Policy{Revocation: 5 * time.Second}, Peers: &peers.Table{},
-		Age: func() time.Duration { return 2 * late }, Loaded: &loaded, Failing: &failing,
+		Age: func() time.Duration { return 2 * lateAge }, Loaded: &loaded, Failing: &failing,
 		Refresh: func() { asked++ }, Clock: time.Now, Log: zerolog.Nop(),
 	}
 	d.Init()
-	told := func(at time.Duration) uint64 {
+	reportedOutage := func(at time.Duration) uint64 {
 		d.Tick(begun.Add(at))
 		own := new(gossip.Digest)
 		d.Tell(own)
 		return own.GetOutage()
 	}
-	require.Zero(t, told(0))
+	require.Zero(t, reportedOutage(0))
 	require.Equal(t, 1, asked)
-	require.Zero(t, told(200*time.Millisecond))
-	require.NotZero(t, told(300*time.Millisecond))
+	require.Zero(t, reportedOutage(200*time.Millisecond))
+	require.NotZero(t, reportedOutage(300*time.Millisecond))
 	require.Equal(t, 1, asked)
 }
