--- a/role/membership/membership.go
+++ b/role/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership keeps which endpoints there are: it takes in their records in the store and what
-// other gateways tell of departures, tells these in turn, and logs what changes.
+// Package membership tracks which endpoints exist. It processes their records in the store and the departures
+// that other gateways report, reports departures in turn, and logs changes.
 package membership
 
 import (
@@ -14,25 +14,25 @@
 	"github.com/grademill/grademill/wire/gossip"
 )
 
-// Membership keeps the endpoints of a fleet. Set the exported fields before the first use. Put and
-// Gone are called by one goroutine, the rest is safe for concurrent use.
+// Membership tracks the endpoints of a fleet. Set the exported fields before the first use. Put and Gone
+// must be called by one goroutine; the other methods are safe for concurrent use.
 type Membership struct {
-	// ID returns the endpoint that a key of the store is the record of, and Decode decodes a record.
+	// ID returns the endpoint whose record has the given key in the store, and Decode decodes a record.
 	ID     func(key string) (string, bool)
 	Decode func(id string, text []byte) (endpoint.Endpoint, error)
-	// Dropped is told of the last record of an endpoint that has none any more, and Restarted of the
-	// last record of a life that another one has followed.
+	// Dropped is called with the last record of an endpoint that no longer has one, Restarted with the last
+	// record of an incarnation that another one has replaced.
 	Dropped, Restarted func(roster.Record)
-	// Overruled is called when another gateway has told that an endpoint has left whose record says
-	// otherwise.
+	// Overruled is called when another gateway has reported the departure of an endpoint whose record does
+	// not show it.
 	Overruled func()
 	Log       zerolog.Logger
 
-	// Roster is the endpoints.
+	// Roster holds the endpoints.
 	Roster roster.Roster
 }
 
-// Put takes in a pair of the store if it is the record of an endpoint.
+// Put processes a pair of the store if it is the record of an endpoint.
 func (m *Membership) Put(p kv.Pair) {
 	id, ok := m.ID(p.Key)
 	if !ok {
@@ -40,7 +40,7 @@
 	}
 	e, err := m.Decode(id, p.Value)
 	if err != nil {
-		m.Log.Warn().Str("endpoint", id).Err(err).Uint64("revision", p.Revision).Msg("record not understood, it names no endpoint")
+		m.Log.Warn().Str("endpoint", id).Err(err).Uint64("revision", p.Revision).Msg("record not understood, endpoint is ignored")
 		if r, known := m.Roster.Drop(id); known {
 			m.drop(r)
 		}
@@ -52,7 +52,7 @@
 		return
 	case roster.Outlived:
 		m.Log.Info().Str("endpoint", id).Int64("born", e.Born).Int64("known", former.Born).Uint64("revision", p.Revision).
-			Msg("record of a former life of an endpoint is passed over")
+			Msg("ignoring record of a previous incarnation of an endpoint")
 		return
 	case roster.Restarted:
 		m.Log.Info().Str("endpoint", id).Int64("born", e.Born).Int64("former", former.Born).Msg("endpoint has started again")
@@ -63,11 +63,11 @@
 		Uint64("revision", p.Revision).Uint64("former_revision", former.Revision).Msg("endpoint changed")
 	if left := m.Roster.Departed(id); !e.Leaving && left.Covers(e, p.Revision) {
 		m.Log.Warn().Str("endpoint", id).Int64("born", e.Born).Uint64("revision", p.Revision).Uint64("left_revision", left.Revision).
-			Bool("announced", left.Announced).Msg("record of an endpoint that has left says otherwise, it gets no new work")
+			Bool("announced", left.Announced).Msg("record of an endpoint that has left does not show it, endpoint gets no new work")
 	}
 }
 
-// Gone takes in that a key of the store has gone at a revision, if it was the record of an endpoint.
+// Gone processes the removal of a key from the store at a revision if the key was the record of an endpoint.
 func (m *Membership) Gone(key string, revision uint64) {
 	id, ok := m.ID(key)
 	if !ok {
@@ -78,14 +78,14 @@
 	}
 }
 
-// drop notes that an endpoint has no record any more.
+// drop handles an endpoint that no longer has a record.
 func (m *Membership) drop(r roster.Record) {
 	m.Dropped(r)
 	m.Log.Info().Bool("leaving", r.Leaving).Uint64("former_revision", r.Revision).Dur("record_age_ms", time.Since(r.Since)).
 		Str("endpoint", r.ID).Msg("endpoint gone")
 }
 
-// Leaves takes in that a life of an endpoint has said by itself that it leaves.
+// Leaves notes that an incarnation of an endpoint has itself announced that it is leaving.
 func (m *Membership) Leaves(e endpoint.Endpoint) {
 	m.Roster.Adopt(roster.News{Departure: departure.Departure{Endpoint: e.ID, Born: e.Born, Announced: true}}, time.Now())
 }
@@ -99,16 +99,16 @@
 	}
 }
 
-// Hear takes in the endpoints that have left by the word of another gateway: this one's copy of the store
-// may be behind. One gateway is enough, since it tells what the store holds and not what it concludes.
+// Hear processes the departures that another gateway reports: this gateway's copy of the store may be behind.
+// A report of one gateway is enough, since it holds what the store says and not a conclusion.
 func (m *Membership) Hear(d *gossip.Digest, now time.Time) {
 	overruled := false
-	for _, told := range d.GetDepartures() {
+	for _, reported := range d.GetDepartures() {
 		n := roster.News{
 			Departure: departure.Departure{
-				Endpoint: told.GetEndpoint(), Born: told.GetBorn(), Announced: told.GetAnnounced(), Revision: told.GetRevision(),
+				Endpoint: reported.GetEndpoint(), Born: reported.GetBorn(), Announced: reported.GetAnnounced(), Revision: reported.GetRevision(),
 			},
-			Age: time.Duration(told.GetAgeMillis()) * time.Millisecond,
+			Age: time.Duration(reported.GetAgeMillis()) * time.Millisecond,
 		}
 		if r, ok := m.Roster.Adopt(n, now); ok {
 			overruled = true
