--- a/role/quarantine/quarantine.go
+++ b/role/quarantine/quarantine.go
@@ -77,8 +77,8 @@
 	Count func(event string)
 	Log   zerolog.Logger
 
-	suspects suspects.Suspects
-	writes   chan fingerprint.Fingerprint
+	known  suspects.Suspects
+	writes chan fingerprint.Fingerprint
 
 	mu sync.Mutex // guards what follows
 	// resends are the datagrams to be sent once more, since a datagram may be lost.
@@ -98,7 +98,7 @@
 
 // Init initializes the quarantine; call it before any other method.
 func (q *Quarantine) Init() {
-	q.suspects.Lasts, q.suspects.SuspectFrom = quarantineTime, isolateFrom
+	q.known.Lasts, q.known.SuspectFrom = quarantineTime, isolateFrom
 	q.writes = make(chan fingerprint.Fingerprint, maxPendingWrites)
 	q.unconfirmed = make(map[fingerprint.Fingerprint]time.Time)
 	q.stored = make(map[fingerprint.Fingerprint]bool)
@@ -120,7 +120,7 @@
 
 // Left returns how much longer a request is quarantined at now, 0 if it is not.
 func (q *Quarantine) Left(f fingerprint.Fingerprint, now time.Time) time.Duration {
-	return q.suspects.Barred(f, now)
+	return q.known.Barred(f, now)
 }
 
 // Report notes that an incarnation of an endpoint has certainly ended under requests that it had just
@@ -133,29 +133,29 @@
 			continue
 		}
 		// Only the keepers hear when the request completes elsewhere, so this count expires.
-		q.suspects.Hear(b.Print, q.suspects.Ends(b.Print, now)+1, true, now, now.Add(reportLifetime))
+		q.known.Hear(b.Print, q.known.Ends(b.Print, now)+1, true, now, now.Add(reportLifetime))
 	}
 	q.notifyKeepers(incarnation, begun)
 }
 
 // Suspected reports whether a request must be isolated from all other suspects.
 func (q *Quarantine) Suspected(f fingerprint.Fingerprint, now time.Time) bool {
-	return q.suspects.Ends(f, now) >= isolateFrom
+	return q.known.Ends(f, now) >= isolateFrom
 }
 
 // Arrived notes that a suspected request has arrived.
 func (q *Quarantine) Arrived(f fingerprint.Fingerprint, now time.Time) {
-	q.suspects.Arrived(f, now)
+	q.known.Arrived(f, now)
 }
 
 // Suspects returns the requests that run isolated from each other at now, or will soon.
 func (q *Quarantine) Suspects(now time.Time) []fingerprint.Fingerprint {
-	return q.suspects.Recent(now)
+	return q.known.Recent(now)
 }
 
 // Survived notes that a request has completed.
 func (q *Quarantine) Survived(f fingerprint.Fingerprint, now time.Time) {
-	if q.suspects.Clear(f, now) {
+	if q.known.Clear(f, now) {
 		q.notifyKeepers(suspects.Life{}, []suspects.Begun{{Print: f}})
 	}
 }
@@ -190,7 +190,7 @@
 func (q *Quarantine) Hear(e *wire.Ends, now time.Time) {
 	for _, p := range e.GetPrints() {
 		if e.GetEndpoint() == "" {
-			q.suspects.Clear(fingerprint.Fingerprint(p), now)
+			q.known.Clear(fingerprint.Fingerprint(p), now)
 			continue
 		}
 		incarnation := suspects.Life{Endpoint: e.GetEndpoint(), Born: e.GetBorn()}
@@ -201,10 +201,10 @@
 // Tick repeats the datagrams sent since the previous Tick, and reviews the unconfirmed requests.
 func (q *Quarantine) Tick(now time.Time) {
 	q.mu.Lock()
-	again := q.resends
+	resends := q.resends
 	q.resends = nil
 	q.mu.Unlock()
-	for _, one := range again {
+	for _, one := range resends {
 		q.Tell(one.ends, one.to)
 	}
 	q.Review(now)
@@ -223,13 +223,13 @@
 	}
 	q.mu.Unlock()
 	for _, f := range unconfirmed {
-		q.evaluate(f, q.suspects.Known(f, now), now)
+		q.evaluate(f, q.known.Known(f, now), now)
 	}
 }
 
 // record adds an end and evaluates the request again.
 func (q *Quarantine) record(f fingerprint.Fingerprint, e suspects.End, now time.Time) {
-	ends := q.suspects.Note(f, e, now)
+	ends := q.known.Note(f, e, now)
 	if len(ends) == reportFrom {
 		q.News() // the request is isolated once all gateways know
 	}
@@ -245,7 +245,7 @@
 // evaluate quarantines a request when enough incarnations have certainly ended under it. A report by a
 // gateway that is cut off proves nothing: to it all endpoints seem to have ended.
 func (q *Quarantine) evaluate(f fingerprint.Fingerprint, ends []suspects.End, now time.Time) {
-	if !enough(ends) || q.suspects.Barred(f, now) > 0 {
+	if !enough(ends) || q.known.Barred(f, now) > 0 {
 		return
 	}
 	var confirmed []suspects.End
@@ -263,7 +263,7 @@
 		return
 	}
 	delete(q.unconfirmed, f)
-	if !q.suspects.Bar(f, now, now.Add(quarantineTime)) {
+	if !q.known.Bar(f, now, now.Add(quarantineTime)) {
 		return
 	}
 	q.Count(eventBegun)
@@ -287,7 +287,7 @@
 
 // Told returns the suspected and quarantined requests for a digest sent at now.
 func (q *Quarantine) Told(now time.Time) []*wire.Suspect {
-	list := q.suspects.List(reportFrom, maxReported, now)
+	list := q.known.List(reportFrom, maxReported, now)
 	reports := make([]*wire.Suspect, 0, len(list))
 	for _, s := range list {
 		reports = append(reports, &wire.Suspect{
@@ -302,7 +302,7 @@
 	for _, s := range list {
 		f := fingerprint.Fingerprint(s.GetPrint())
 		if s.GetEnds() > 0 {
-			q.suspects.Hear(f, int(s.GetEnds()), s.GetRecent(), now, now.Add(reportLifetime))
+			q.known.Hear(f, int(s.GetEnds()), s.GetRecent(), now, now.Add(reportLifetime))
 		}
 		left := min(time.Duration(s.GetLeftMillis())*time.Millisecond, quarantineTime)
 		if left >= minRemaining {
@@ -313,7 +313,7 @@
 
 // adopt quarantines a request on the report of another gateway or of the store.
 func (q *Quarantine) adopt(f fingerprint.Fingerprint, left time.Duration, from string, now time.Time) {
-	if !q.suspects.Bar(f, now, now.Add(left)) {
+	if !q.known.Bar(f, now, now.Add(left)) {
 		return
 	}
 	q.Count(eventReported)
@@ -333,5 +333,5 @@
 // wait waits for d, and reports whether the request must still be written to the store then.
 func (q *Quarantine) wait(ctx context.Context, f fingerprint.Fingerprint, d time.Duration) bool {
 	pause.For(ctx, d)
-	return ctx.Err() == nil && !q.isStored(f) && q.suspects.Barred(f, time.Now()) > 0
+	return ctx.Err() == nil && !q.isStored(f) && q.known.Barred(f, time.Now()) > 0
 }
--- a/role/quarantine/quarantine_test.go
+++ b/role/quarantine/quarantine_test.go
@@ -199,10 +199,10 @@
 	return nil
 }
 
-func (f *fleet) setStoreDown(away bool) {
+func (f *fleet) setStoreDown(storeDown bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.storeDown = away
+	f.storeDown = storeDown
 }
 
 // newFleet starts a fleet of gateways.
--- a/role/quarantine/store.go
+++ b/role/quarantine/store.go
@@ -50,8 +50,8 @@
 
 // persist writes a request to the store, unless another gateway does.
 func (q *Quarantine) persist(ctx context.Context, f fingerprint.Fingerprint) {
-	rank, _ := q.keeperRank(f)
-	wait := time.Duration(rank) * writeStagger
+	keeperRank, _ := q.keeperRank(f)
+	wait := time.Duration(keeperRank) * writeStagger
 	for failures := 1; q.wait(ctx, f, wait); failures++ {
 		err := q.put(ctx, f)
 		var held *kv.ConflictError
@@ -67,9 +67,9 @@
 // put writes a request under a lease that lasts as long as the quarantine.
 func (q *Quarantine) put(ctx context.Context, f fingerprint.Fingerprint) error {
 	now := time.Now()
-	left := q.suspects.Barred(f, now)
+	left := q.known.Barred(f, now)
 	text, err := proto.Marshal(&wire.Quarantine{
-		UntilUnixMillis: now.Add(left).UnixMilli(), Ends: uint32(q.suspects.Ends(f, now)),
+		UntilUnixMillis: now.Add(left).UnixMilli(), Ends: uint32(q.known.Ends(f, now)),
 	})
 	if err != nil {
 		return err
@@ -115,7 +115,7 @@
 	q.mu.Lock()
 	delete(q.stored, f)
 	q.mu.Unlock()
-	if q.suspects.Barred(f, now) > minRemaining {
+	if q.known.Barred(f, now) > minRemaining {
 		q.write(f)
 	}
 	return true
