--- a/role/gateway/admission_test.go
+++ b/role/gateway/admission_test.go
@@ -13,34 +13,34 @@
 	"github.com/grademill/grademill/standin/site"
 )
 
-// newNarrowModel starts a world that has room for one stream at a time.
-func newNarrowModel(t *testing.T) (*world, []*site.Endpoint) {
+// newNarrowModel starts a fixture with room for one stream at a time.
+func newNarrowModel(t *testing.T) (*fixture, []*site.Endpoint) {
 	cards := []*site.Endpoint{card("card-0", "north"), card("card-1", "north")}
 	for _, c := range cards {
 		c.Slots = 1
 	}
-	w := newWorld(t, cards...)
+	w := newFixture(t, cards...)
 	w.eventually(func() bool { return covered(cards, 1) })
-	w.knows(cards...)
+	w.waitForLayers(cards...)
 	return w, cards
 }
 
-// hold starts a stream of so many events, and returns once it runs.
-func (w *world) hold(events int) *http.Response {
+// occupy starts a stream with the given number of events, and returns once it runs.
+func (w *fixture) occupy(events int) *http.Response {
 	w.t.Helper()
-	answer, err := http.DefaultClient.Do(w.plan("/plan/1", events))
+	answer, err := http.DefaultClient.Do(w.streamRequest("/plan/1", events))
 	require.NoError(w.t, err)
 	return answer
 }
 
-// Requests wait in line for room. One with less time than its route gives has come back
-// already and goes first: refused again, it would be lost.
-func TestReturnedRequestGoesFirst(t *testing.T) {
+// Requests queue for room. A request with less time left than its route allows has been refused before and
+// goes first: refused again, it would be lost.
+func TestRetriedRequestGoesFirst(t *testing.T) {
 	t.Parallel()
 	w, cards := newNarrowModel(t)
-	answer := w.hold(36)      // at 5 ms an event, or twice that on a busy machine: less than callers wait
+	answer := w.occupy(36)    // 5 ms per event, or twice that on a busy machine: less than callers wait
 	defer answer.Body.Close() //nolint:errcheck // it runs to its end
-	first, again := w.plan("/plan/1", 3), w.plan("/plan/1", 3)
+	first, again := w.streamRequest("/plan/1", 3), w.streamRequest("/plan/1", 3)
 	again.Header.Set("X-Deadline-Ms", "12000")
 	var group sync.WaitGroup
 	for _, r := range []*http.Request{first, again} {
@@ -63,17 +63,17 @@
 	require.Equal(t, []string{again.Header.Get("X-Request-Id"), first.Header.Get("X-Request-Id")}, order[1:])
 }
 
-// Callers that are refused for want of room are told different times to come back.
-func TestRefusedCallersComeBackApart(t *testing.T) {
+// Callers that are refused for lack of room get different Retry-After delays.
+func TestRetryAfterDelaysDiffer(t *testing.T) {
 	t.Parallel()
 	w, cards := newNarrowModel(t)
-	answer := w.hold(4000)
+	answer := w.occupy(4000)
 	defer answer.Body.Close() //nolint:errcheck // it need not end
 	var mu sync.Mutex
 	times := make(map[float64]bool)
 	var group sync.WaitGroup
 	for range 5 {
-		r := w.plan("/plan/1", 3)
+		r := w.streamRequest("/plan/1", 3)
 		group.Go(func() {
 			got, err := http.DefaultClient.Do(r)
 			if err != nil {
@@ -94,22 +94,22 @@
 	for _, c := range cards {
 		ran += len(c.Seen())
 	}
-	require.Equal(t, 1, ran, "what is refused has not run")
+	require.Equal(t, 1, ran, "refused requests have not run")
 }
 
-// Callers that give less time than their route from the start have just come: taken for
-// some that had come back, they waited until their first events were late.
+// Callers whose requests always have less time than their route allows are new callers. When they were taken
+// for ones that had been refused before, they waited until their first events were late.
 func TestCallersWithLessTimeThanTheRouteAreNew(t *testing.T) {
 	t.Parallel()
 	w, _ := newNarrowModel(t)
 	ask := func(deadline string) string {
-		r := w.plan("/plan/1", 3)
+		r := w.streamRequest("/plan/1", 3)
 		r.Header.Set("X-Deadline-Ms", deadline)
-		require.Equal(t, whole(3), w.do(r).body)
+		require.Equal(t, fullBody(3), w.do(r).body)
 		return r.Header.Get("X-Request-Id")
 	}
 	returned := func(id string) bool {
-		w.logged(`"request":"` + id + `"`)
+		w.waitForLog(`"request":"` + id + `"`)
 		for _, line := range strings.Split(w.log.String(), "\n") {
 			if strings.Contains(line, `"request":"`+id+`"`) && strings.Contains(line, `"request ended"`) {
 				return strings.Contains(line, `"returned":true`)
--- a/role/gateway/leave_test.go
+++ b/role/gateway/leave_test.go
@@ -19,48 +19,48 @@
 	"github.com/grademill/grademill/standin/site"
 )
 
-// slow is how far apart the events of a slow endpoint come: more than the wait after
-// which a stream is looked after, less than its caller bears.
-const slow = 400 * time.Millisecond
+// slowEventInterval is the time between events of a slow endpoint: longer than the wait after which a stream
+// is checked, shorter than the pause that its caller tolerates.
+const slowEventInterval = 400 * time.Millisecond
 
-// newSlowModel starts a world with one chain of slow endpoints.
-func newSlowModel(t *testing.T, change func(*gateway.Gateway)) (*world, []*site.Endpoint) {
+// newSlowModel starts a fixture with one chain of slow endpoints.
+func newSlowModel(t *testing.T, change func(*gateway.Gateway)) (*fixture, []*site.Endpoint) {
 	cards := []*site.Endpoint{card("card-0", "north"), card("card-1", "north")}
 	for _, c := range cards {
-		c.EventEvery = slow
+		c.EventEvery = slowEventInterval
 	}
-	w := newWorldWith(t, change, cards...)
+	w := newFixtureWith(t, change, cards...)
 	w.eventually(func() bool { return covered(cards, 1) })
-	w.knows(cards...)
+	w.waitForLayers(cards...)
 	return w, cards
 }
 
-// A stream whose events are late is not given up because its first endpoint has lost
-// another request: the endpoint answers, and another try would only add to the load.
+// A stream whose events are late is not given up because its first endpoint has lost another request: the
+// endpoint answers, and another attempt would only add to the load.
 func TestOneLostRequestDoesNotEndOthers(t *testing.T) {
 	t.Parallel()
 	w, _ := newSlowModel(t, func(*gateway.Gateway) {})
-	r := w.plan("/plan/1", 8)
+	r := w.streamRequest("/plan/1", 8)
 	answer, err := http.DefaultClient.Do(r)
 	require.NoError(t, err)
 	done := make(chan string, 1)
 	go func() {
 		defer answer.Body.Close()          //nolint:errcheck // read to its end
-		text, _ := io.ReadAll(answer.Body) // a stream that breaks is not whole
+		text, _ := io.ReadAll(answer.Body) // an incomplete stream fails the comparison below
 		done <- string(text)
 	}()
-	for range 3 { // each is broken off after its first event
+	for range 3 { // each breaks off after its first event
 		w.site.Next(model, site.Cut)
-		w.do(w.plan("/once/1", 4))
+		w.do(w.streamRequest("/once/1", 4))
 	}
-	require.Equal(t, whole(8), <-done)
-	line := usesOf(t, w, r.Header.Get("X-Request-Id"))
+	require.Equal(t, fullBody(8), <-done)
+	line := endLine(t, w, r.Header.Get("X-Request-Id"))
 	require.Contains(t, line, `"sends":1,`)
 }
 
-// Where the retry budget is used up, or no other chain is there, a stream is not given
-// up when a part of its chain is lost: the part may come back.
-func TestStreamWaitsWhereNoOtherTryCanFollow(t *testing.T) {
+// If the retry budget is used up or there is no other chain, a stream is not given up when a part of its
+// chain is lost: the part may return.
+func TestStreamWaitsIfNoOtherAttemptIsPossible(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(*gateway.Gateway){
 		"no budget":      func(g *gateway.Gateway) { g.RetryShare, g.RetryReserve = 0, 0 },
@@ -71,51 +71,51 @@
 			var cards []*site.Endpoint
 			for i := range 2 {
 				cards = append(cards, card(fmt.Sprint("card-", i), "north"))
-				cards[i].ReportLag = patience
+				cards[i].ReportLag = testTimeout
 			}
-			w := newWorldWith(t, change, cards...)
+			w := newFixtureWith(t, change, cards...)
 			w.eventually(func() bool { return covered(cards, 1) })
-			w.knows(cards...)
-			answer, r, later := w.mid(cards, 200)
+			w.waitForLayers(cards...)
+			answer, r, later := w.startStream(cards, 200)
 			later[0].Kill()
-			w.logged("whether a try is left for another")
+			w.waitForLog("whether a try is left for another")
 			later[0].Revive()
-			require.Equal(t, whole(200), w.rest(answer))
-			require.Contains(t, usesOf(t, w, r.Header.Get("X-Request-Id")), `"sends":1,`)
+			require.Equal(t, fullBody(200), w.readRest(answer))
+			require.Contains(t, endLine(t, w, r.Header.Get("X-Request-Id")), `"sends":1,`)
 		})
 	}
 }
 
-// A send that never arrived is no retry when the request is sent again.
+// A send that did not arrive is not charged to the retry budget when the request is sent again.
 func TestSendThatDidNotArriveIsNotChargedToTheBudget(t *testing.T) {
 	t.Parallel()
 	gone := plain("plain-1")
 	gone.Public = freePort(t) // nothing listens there
 	far := plain("plain-2")
-	far.Hall = "south" // so that the other one is tried first
-	w := newWorldWith(t, func(g *gateway.Gateway) { g.RetryShare, g.RetryReserve = 0, 0 }, gone, far)
-	w.logged(`"endpoint":"plain-2"`)
-	w.logged(`"endpoint":"plain-1"`)
+	far.Hall = "south" // so that the other one is preferred
+	w := newFixtureWith(t, func(g *gateway.Gateway) { g.RetryShare, g.RetryReserve = 0, 0 }, gone, far)
+	w.waitForLog(`"endpoint":"plain-2"`)
+	w.waitForLog(`"endpoint":"plain-1"`)
 	for range 8 {
 		require.Equal(t, http.StatusOK, w.do(w.request("POST", "/freeze/1", "x")).StatusCode)
 	}
 	require.Contains(t, w.log.String(), `"sends":2,`)
 }
 
-// An order does not wait for streams that are lost already: their first endpoint has
-// ended, and the endpoints after it hold room for them in vain.
+// An order does not wait for streams that are already lost: their first endpoint has ended, and the
+// endpoints after it hold reservations for them in vain.
 func TestOrderDoesNotWaitForLostStreams(t *testing.T) {
 	t.Parallel()
 	var cards []*site.Endpoint
 	for i := range 4 {
 		cards = append(cards, card(fmt.Sprint("card-", i), "north"))
 	}
-	w := newWorldWith(t, func(g *gateway.Gateway) { g.RetryShare, g.RetryReserve = 0, 0 }, cards...)
+	w := newFixtureWith(t, func(g *gateway.Gateway) { g.RetryShare, g.RetryReserve = 0, 0 }, cards...)
 	w.eventually(func() bool { return covered(cards, 2) })
-	w.knows(cards...)
+	w.waitForLayers(cards...)
 	used := make(map[*site.Endpoint]bool)
-	for len(used) < len(cards) { // until each of them works for a stream
-		answer, _, later := w.mid(cards, 4000)
+	for len(used) < len(cards) { // until each of them serves a stream
+		answer, _, later := w.startStream(cards, 4000)
 		defer answer.Body.Close() //nolint:errcheck // the stream is lost
 		for _, c := range later {
 			used[c] = true
@@ -136,18 +136,18 @@
 	require.Equal(t, "true", order.FindStringSubmatch(w.log.String())[1])
 }
 
-// An endpoint that has ended does not count as one of those that a request may be sent
-// to: a stream that loses its first endpoint twice goes on at a third one.
-func TestEndedEndpointsAreNoTries(t *testing.T) {
+// An endpoint that has ended does not count towards the endpoints that a request may be sent to: a stream
+// that loses its first endpoint twice continues at a third one.
+func TestEndedEndpointsDoNotCountAsAttempts(t *testing.T) {
 	t.Parallel()
 	var cards []*site.Endpoint
 	for i := range 6 {
 		cards = append(cards, card(fmt.Sprint("card-", i), "north"))
 	}
-	w := newWorld(t, cards...)
+	w := newFixture(t, cards...)
 	w.eventually(func() bool { return covered(cards, 3) })
-	w.knows(cards...)
-	answer, r, _ := w.mid(cards, 400) // the route allows two endpoints
+	w.waitForLayers(cards...)
+	answer, r, _ := w.startStream(cards, 400) // the route allows two endpoints
 	id := r.Header.Get("X-Request-Id")
 	var killed []*site.Endpoint
 	for range 2 {
@@ -163,23 +163,23 @@
 		w.site.Stop(at)
 		killed = append(killed, at)
 	}
-	require.Equal(t, whole(400), w.rest(answer))
-	require.Contains(t, usesOf(t, w, id), `"sends":3,`)
+	require.Equal(t, fullBody(400), w.readRest(answer))
+	require.Contains(t, endLine(t, w, id), `"sends":3,`)
 }
 
-// An endpoint that is only silent does count: this gateway may be too slow to hear it, and
-// the request may go on there.
-func TestSilentEndpointsAreTries(t *testing.T) {
+// An endpoint that is merely silent does count: this gateway may be too slow to hear it, and the request may
+// be running there.
+func TestSilentEndpointsCountAsAttempts(t *testing.T) {
 	t.Parallel()
 	var cards []*site.Endpoint
 	for i := range 6 {
 		cards = append(cards, card(fmt.Sprint("card-", i), "north"))
 	}
-	w := newWorld(t, cards...)
+	w := newFixture(t, cards...)
 	w.eventually(func() bool { return covered(cards, 3) })
-	w.knows(cards...)
-	answer, r, _ := w.mid(cards, 400) // the route allows two endpoints
-	defer answer.Body.Close()         //nolint:errcheck // the stream is lost
+	w.waitForLayers(cards...)
+	answer, r, _ := w.startStream(cards, 400) // the route allows two endpoints
+	defer answer.Body.Close()                 //nolint:errcheck // the stream is lost
 	var killed []*site.Endpoint
 	for range 2 {
 		var at *site.Endpoint
@@ -194,8 +194,8 @@
 		at.Kill()
 		killed = append(killed, at)
 	}
-	w.logged(`"address":"` + killed[1].Address() + `","error"`)
-	time.Sleep(500 * time.Millisecond) // some further looks
+	w.waitForLog(`"address":"` + killed[1].Address() + `","error"`)
+	time.Sleep(500 * time.Millisecond) // some further checks
 	seen := 0
 	for _, c := range cards {
 		for _, one := range c.Seen() {
@@ -207,13 +207,13 @@
 	require.Equal(t, 2, seen)
 }
 
-// A request may lie unread in a process that has no time, until its caller has left. It is sent to
-// no endpoint then, also when the process has not yet read that the connection was closed: it was
-// sent on up to 0.8 s after the caller had closed it.
-func TestRequestWhoseCallerLeftUnreadIsNotSent(t *testing.T) {
+// A request may stay unread in a process starved of processor time until its caller has left. It must not be
+// sent to an endpoint then, even if the process has not yet seen that the connection was closed: requests
+// were sent up to 0.8 s after the caller had closed it.
+func TestUnreadRequestIsNotSentAfterItsCallerLeft(t *testing.T) {
 	t.Parallel()
 	e := plain("a")
-	w := newWorld(t, e)
+	w := newFixture(t, e)
 	served := make(chan struct{})
 	late := func(rw http.ResponseWriter, r *http.Request) {
 		defer close(served)
@@ -232,6 +232,6 @@
 	require.NoError(t, w.request("POST", "/renew/1", "x").Write(c))
 	require.NoError(t, c.Close())
 	<-served
-	w.logged(`"outcome":"caller left"`)
+	w.waitForLog(`"outcome":"caller left"`)
 	require.Empty(t, e.Seen())
 }
--- a/role/gateway/life_test.go
+++ b/role/gateway/life_test.go
@@ -11,60 +11,60 @@
 	"github.com/grademill/grademill/standin/site"
 )
 
-// bornCard is a card that says when it started.
-func bornCard(id string) *site.Endpoint {
+// cardWithBirth returns a card whose record holds its start time.
+func cardWithBirth(id string) *site.Endpoint {
 	c := card(id, "north")
 	c.Born = 1
 	return c
 }
 
-// A part that has started again under its ID answers checks, but what passed through it is
-// lost: its report names another life than its record, and streams are moved by that, before
-// the endpoints before it tell of a standstill.
-func TestPartThatHasStartedAgainIsFoundByItsReport(t *testing.T) {
+// A part of a chain that has restarted under the same ID answers checks, but has lost the streams that
+// passed through it. Its report names another incarnation than its record, so the streams are moved before
+// the endpoints ahead of it report a stall.
+func TestRestartedPartIsFoundByItsReport(t *testing.T) {
 	t.Parallel()
 	var cards []*site.Endpoint
 	for i := range 4 {
-		cards = append(cards, bornCard(fmt.Sprint("card-", i)))
-		cards[i].ReportLag = patience
+		cards = append(cards, cardWithBirth(fmt.Sprint("card-", i)))
+		cards[i].ReportLag = testTimeout
 	}
-	w := newWorld(t, cards...)
+	w := newFixture(t, cards...)
 	w.eventually(func() bool { return covered(cards, 2) })
-	w.knows(cards...)
-	answer, r, later := w.mid(cards, 200)
+	w.waitForLayers(cards...)
+	answer, r, later := w.startStream(cards, 200)
 	later[0].Restart()
-	require.Equal(t, whole(200), w.rest(answer))
-	require.Contains(t, usesOf(t, w, r.Header.Get("X-Request-Id")), "moved: ")
-	layersHold(t, w)
+	require.Equal(t, fullBody(200), w.readRest(answer))
+	require.Contains(t, endLine(t, w, r.Header.Get("X-Request-Id")), "moved: ")
+	requireLayersInOrder(t, w)
 }
 
-// What an endpoint was ordered to hold in a former life it does not hold: the hole is closed
-// although the order has not been carried out.
-func TestOrdersOfAFormerLifeAreForgotten(t *testing.T) {
+// Orders of a previous incarnation say nothing about the layers of the present one: uncovered layers are
+// assigned again although the order has not been carried out.
+func TestOrdersOfAPreviousIncarnationAreForgotten(t *testing.T) {
 	t.Parallel()
 	var cards []*site.Endpoint
 	for i := range 2 {
-		cards = append(cards, bornCard(fmt.Sprint("card-", i)))
+		cards = append(cards, cardWithBirth(fmt.Sprint("card-", i)))
 	}
-	w := newWorld(t, cards...)
+	w := newFixture(t, cards...)
 	w.eventually(func() bool { return covered(cards, 1) })
-	w.knows(cards...)
+	w.waitForLayers(cards...)
 	next := cards[0].Next()
 	cards[0].Kill()
 	w.site.Stop(cards[0])
 	require.NoError(t, w.site.Start(next))
-	w.logged("endpoint has started again")
+	w.waitForLog("endpoint has started again")
 	w.eventually(func() bool { return covered([]*site.Endpoint{next, cards[1]}, 1) })
-	w.eventually(func() bool { return w.do(w.plan("/plan/1", 3)).body == whole(3) })
-	layersHold(t, w)
+	w.eventually(func() bool { return w.do(w.streamRequest("/plan/1", 3)).body == fullBody(3) })
+	requireLayersInOrder(t, w)
 }
 
-// A record of a former life that comes late changes nothing.
-func TestLateRecordOfAFormerLifeIsPassedOver(t *testing.T) {
+// A late record of a previous incarnation is ignored.
+func TestLateRecordOfAPreviousIncarnationIsIgnored(t *testing.T) {
 	t.Parallel()
 	former := plain("a")
 	former.Born = 1
-	w := newWorld(t, former)
+	w := newFixture(t, former)
 	next := former.Next()
 	require.NoError(t, w.site.Start(next))
 	w.eventually(func() bool {
@@ -73,35 +73,35 @@
 	})
 	w.site.Announce(former)
 	w.configure(true)
-	w.logged(fmt.Sprintf(`"version":%d,`, w.version)) // what was written before it is known
+	w.waitForLog(fmt.Sprintf(`"version":%d,`, w.version)) // everything written before is known
 	seen := len(former.Seen())
 	require.Equal(t, http.StatusOK, w.do(w.request("POST", "/freeze/1", "x")).StatusCode)
 	require.Len(t, former.Seen(), seen)
 }
 
-// Endpoints that come back under their IDs are counted by their lives: two of them that end
-// again and again under a request are more than two ends.
-func TestLivesUnderOneIDAreCounted(t *testing.T) {
+// Endpoints that return under their IDs are counted by incarnation: two of them that end again and again
+// under a request are more than two ends.
+func TestIncarnationsUnderOneIDAreCounted(t *testing.T) {
 	t.Parallel()
-	f := &flock{path: "/freeze/9", fresh: func(id string) *site.Endpoint {
+	f := &fleet{path: "/freeze/9", newEndpoint: func(id string) *site.Endpoint {
 		e := plain(id)
 		e.Born = 1
 		return e
-	}, again: true}
-	newFlock(t, 2, f)
+	}, reuseIDs: true}
+	newFleet(t, 2, f)
 	const arrivals, most = 12, 6
 	for i := range arrivals {
-		f.restore()
-		time.Sleep(arrivalEvery)
-		f.send(i, deadly)
+		f.replaceEnded()
+		time.Sleep(arrivalInterval)
+		f.send(i, poison)
 	}
 	require.LessOrEqual(t, len(f.site.Ended()), most)
 	require.Contains(t, f.log.String(), `"message":"request is quarantined"`)
 }
 
-// A record that another writer spoilt names no endpoint to use; the others hold, and so does
-// all else that the store tells.
-func TestSpoiltRecordsNameNoEndpoint(t *testing.T) {
+// A record that another writer has corrupted makes its endpoint unusable, but affects no other record or
+// other data in the store.
+func TestInvalidRecordsAreIgnored(t *testing.T) {
 	t.Parallel()
 	for name, text := range map[string]string{
 		"no JSON":         "\x00\xff{",
@@ -116,16 +116,16 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			spoilt, sound := plain("a"), plain("b")
-			w := newWorld(t, spoilt, sound)
+			w := newFixture(t, spoilt, sound)
 			if name != "no address" && name != "another type" && name != "empty" && name != "no JSON" {
 				text = fmt.Sprintf(text, spoilt.Address())
 			}
 			w.site.Overwrite(spoilt, text)
 			w.site.Store.SetText("servers/nobody", []byte(text))
 			w.configure(true)
-			w.logged(fmt.Sprintf(`"version":%d,`, w.version))
-			w.logged(`"endpoint":"nobody"`)
-			w.eventually(func() bool { // what was read with the configuration is in force a moment later
+			w.waitForLog(fmt.Sprintf(`"version":%d,`, w.version))
+			w.waitForLog(`"endpoint":"nobody"`)
+			w.eventually(func() bool { // records read with the configuration take effect shortly after it
 				seen := len(spoilt.Seen())
 				for range 10 {
 					require.Equal(t, http.StatusOK, w.do(w.request("POST", "/freeze/1", "x")).StatusCode)
@@ -139,11 +139,10 @@
 	}
 }
 
-// A value that cannot be read at all spoils no other: a gateway that starts then reads the
-// rest.
-func TestUnreadableValueSpoilsNoOther(t *testing.T) {
+// A value that cannot be decoded at all does not affect others: a gateway that starts then reads them.
+func TestUndecodableValueDoesNotAffectOthers(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, plain("a"))
+	w := newFixture(t, plain("a"))
 	w.site.Store.SetValue("servers/x", "%%% no base64 %%%")
 	later := w.start("gateway-2")
 	w.eventually(later.Ready)
@@ -151,8 +150,8 @@
 	w.eventually(func() bool { return w.do(w.request("POST", "/freeze/1", "x")).StatusCode == http.StatusOK })
 }
 
-// A record of a service that no configuration names hides no endpoint that has the same address:
-// what is learned by the address is learned of the endpoint that is used.
+// A record of a service that no configuration names does not hide an endpoint with the same address: what
+// the gateway learns by address applies to the endpoint in use.
 func TestRecordOfAnUnknownServiceHidesNoEndpoint(t *testing.T) {
 	t.Parallel()
 	w, cards := newModel(t)
@@ -166,17 +165,17 @@
 		ghost := &site.Endpoint{ID: fmt.Sprint("ghost-", i), Service: "elsewhere", Hall: "north", Public: first.Address()}
 		w.site.Announce(ghost)
 	}
-	w.logged(`"endpoint":"ghost-11"`)
+	w.waitForLog(`"endpoint":"ghost-11"`)
 	w.configure(true)
-	w.logged(fmt.Sprintf(`"version":%d,`, w.version))
-	for w.do(w.plan("/plan/1", 3)); len(first.Seen()) == 0; {
-		w.do(w.plan("/plan/1", 3))
+	w.waitForLog(fmt.Sprintf(`"version":%d,`, w.version))
+	for w.do(w.streamRequest("/plan/1", 3)); len(first.Seen()) == 0; {
+		w.do(w.streamRequest("/plan/1", 3))
 	}
 	first.Stay(site.Refuse)
 	seen := len(first.Seen())
 	const requests = 40
-	for range requests { // within the time for which one that refused is passed over
-		require.Equal(t, whole(1), w.do(w.plan("/plan/1", 1)).body)
+	for range requests { // within the time for which an endpoint is avoided after a refusal
+		require.Equal(t, fullBody(1), w.do(w.streamRequest("/plan/1", 1)).body)
 	}
 	require.Less(t, len(first.Seen())-seen, requests/4)
 }
--- a/role/gateway/limit_test.go
+++ b/role/gateway/limit_test.go
@@ -17,12 +17,12 @@
 	"github.com/grademill/grademill/standin/site"
 )
 
-// newCrowd starts so many gateways before endpoints, each in a hall, by the number of the gateway.
-func newCrowd(t *testing.T, halls []string, endpoints ...*site.Endpoint) *flock {
+// newFleetInHalls starts one gateway in each of the halls in front of the endpoints.
+func newFleetInHalls(t *testing.T, halls []string, endpoints ...*site.Endpoint) *fleet {
 	in := func(i int) func(*gateway.Gateway) {
 		return func(g *gateway.Gateway) { g.Hall = halls[i] }
 	}
-	f := &flock{world: newWorldWith(t, in(0), endpoints...)}
+	f := &fleet{fixture: newFixtureWith(t, in(0), endpoints...)}
 	f.targets = append(f.targets, f.target)
 	for i := 1; i < len(halls); i++ {
 		g := f.startWith(fmt.Sprint("gateway-", i+1), f.site.StoreAddress, in(i))
@@ -33,9 +33,9 @@
 	return f
 }
 
-// press sends a request to each gateway in turn, so many times a second, until stop is called, which
-// returns how many were answered by their status.
-func (f *flock) press(perSecond int, request func() *http.Request) (stop func() map[int]int) {
+// generateLoad sends perSecond requests a second to the gateways in turn until stop is called, which returns
+// the number of answers by status.
+func (f *fleet) generateLoad(perSecond int, request func() *http.Request) (stop func() map[int]int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var mu sync.Mutex
 	var group sync.WaitGroup
@@ -49,13 +49,13 @@
 				return
 			case <-due.C:
 			}
-			r := f.aim(request(), i)
+			r := f.roundRobin(request(), i)
 			group.Go(func() {
 				answer, err := http.DefaultClient.Do(r)
 				if !assert.NoError(f.t, err) {
 					return
 				}
-				_, _ = io.Copy(io.Discard, answer.Body) // a broken answer shows in its status
+				_, _ = io.Copy(io.Discard, answer.Body) // only the status counts
 				_ = answer.Body.Close()
 				mu.Lock()
 				defer mu.Unlock()
@@ -68,63 +68,63 @@
 		group.Wait()
 		return answers
 	}
-	f.t.Cleanup(func() { stop() }) // before the gateways end, when the test fails
+	f.t.Cleanup(func() { stop() }) // if the test fails, ends the load before the gateways
 	return stop
 }
 
-// aim has a request go to one of the gateways in turn.
-func (f *flock) aim(r *http.Request, turn int) *http.Request {
-	r.URL.Host = f.targets[turn%len(f.targets)][len("http://"):]
+// roundRobin directs a request to the gateway at index, modulo the number of gateways.
+func (f *fleet) roundRobin(r *http.Request, index int) *http.Request {
+	r.URL.Host = f.targets[index%len(f.targets)][len("http://"):]
 	return r
 }
 
-// settled waits until all that the endpoints of a model hold is in force at the gateways, so that these
-// choose by it from then on.
-func (f *flock) settled(endpoints []*site.Endpoint) {
+// waitForModel waits until the gateways know all layers that the endpoints of a model hold, and so choose by
+// them.
+func (f *fleet) waitForModel(endpoints []*site.Endpoint) {
 	f.t.Helper()
 	f.eventually(func() bool { return covered(endpoints, 2) })
-	f.knows(endpoints...)
-	f.eventually(func() bool { return f.do(f.plan("/plan/1", 1)).StatusCode == http.StatusOK })
+	f.waitForLayers(endpoints...)
+	f.eventually(func() bool { return f.do(f.streamRequest("/plan/1", 1)).StatusCode == http.StatusOK })
 }
 
-// limited checks that an endpoint that named a limit got no more than it allows, and something.
-func limited(t *testing.T, e *site.Endpoint, limit float64) {
+// requireLimitKept checks that an endpoint got requests after stating a limit, and no more than the limit
+// allows.
+func requireLimitKept(t *testing.T, e *site.Endpoint, limit float64) {
 	t.Helper()
-	require.False(t, e.NamedAt().IsZero(), "it has named its limit")
+	require.False(t, e.NamedAt().IsZero(), "it has stated its limit")
 	var later []time.Time
 	for _, at := range e.Arrived() {
 		if at.After(e.NamedAt().Add(site.LimitHeard)) {
 			later = append(later, at)
 		}
 	}
-	require.NotEmpty(t, later, "it gets a part of what it takes")
+	require.NotEmpty(t, later, "it still gets requests")
 	require.LessOrEqual(t, site.MostWithin(later, site.LimitSpan), site.Allowed(limit))
 }
 
-// An endpoint that was in need named a limit of 3.8 requests a second, and went on to get 10 to 16 a
-// second from five gateways, 42 within four seconds where 28 are allowed. No gateway read what endpoints
-// say of themselves: the endpoint got as much after its word as before it, and turned nothing away, so
-// that nothing else told of its need. With the header read, each gateway's log said "endpoint changes its
-// limit" within 0.2 s, at 122 requests in four seconds.
-func TestLimitOfAnEndpointIsKeptByAllTogether(t *testing.T) {
+// An overloaded endpoint stated a limit of 3.8 requests a second, but still got 10 to 16 a second from five
+// gateways: 42 within four seconds, of which 28 are allowed. The gateways did not read the header with the
+// limit, and since the endpoint refused nothing, they had no other sign of its overload. Once they read the
+// header, each logged "endpoint changes its limit" within 0.2 s, at 122 requests in four seconds.
+func TestGatewaysKeepALimitTogether(t *testing.T) {
 	const limit = 3.8
 	halls := []string{"north", "north", "north", "south", "south"}
-	for path, endpoints := range spoken() {
+	for path, endpoints := range endpointsByPath() {
 		t.Run(path, func(t *testing.T) {
 			t.Parallel()
-			f, inNeed, _, stop := speak(t, path, halls, endpoints, site.Says{Limit: limit})
-			f.eventually(func() bool { return !inNeed.NamedAt().IsZero() })
-			named := inNeed.NamedAt()
+			f, overloaded, _, stop := sayUnderLoad(t, path, halls, endpoints, site.Says{Limit: limit})
+			f.eventually(func() bool { return !overloaded.NamedAt().IsZero() })
+			named := overloaded.NamedAt()
 			f.eventually(func() bool { return time.Since(named) > site.LimitHeard+site.LimitSpan+time.Second })
 			answers := stop()
-			limited(t, inNeed, limit)
-			servedAll(t, answers)
+			requireLimitKept(t, overloaded, limit)
+			requireMostServed(t, answers)
 		})
 	}
 }
 
-// busiest returns the endpoint that first got twenty requests.
-func (f *flock) busiest(endpoints []*site.Endpoint) *site.Endpoint {
+// busiest returns the first endpoint that has got twenty requests.
+func (f *fleet) busiest(endpoints []*site.Endpoint) *site.Endpoint {
 	f.t.Helper()
 	var most *site.Endpoint
 	f.eventually(func() bool {
@@ -138,31 +138,31 @@
 	return most
 }
 
-// Most gateways of a large fleet send an endpoint nothing while it is in need, and others tell them of the
-// limit and of its end.
-func TestLimitIsHeardOfFromAnotherGateway(t *testing.T) {
+// Most gateways of a large fleet send no requests to an overloaded endpoint. Others report its limit to
+// them, and the end of the limit.
+func TestLimitIsReportedByAnotherGateway(t *testing.T) {
 	endpoints := []*site.Endpoint{plain("plain-0"), plain("plain-1")}
-	f := newCrowd(t, []string{"north", "south"}, endpoints...)
+	f := newFleetInHalls(t, []string{"north", "south"}, endpoints...)
 	f.targets = f.targets[:1]
-	stop := f.press(50, func() *http.Request { return f.plan("/freeze/1", 3) })
-	inNeed := f.busiest(endpoints)
-	inNeed.Say(site.Says{Limit: 3.8})
-	f.logged(fmt.Sprintf(`"process":"gateway-2","endpoint":%q,"limit_per_s":3.8`, inNeed.ID))
-	inNeed.Say(site.Says{})
-	f.logged(fmt.Sprintf(`"process":"gateway-2","endpoint":%q,"limit_per_s":0`, inNeed.ID))
+	stop := f.generateLoad(50, func() *http.Request { return f.streamRequest("/freeze/1", 3) })
+	overloaded := f.busiest(endpoints)
+	overloaded.Say(site.Says{Limit: 3.8})
+	f.waitForLog(fmt.Sprintf(`"process":"gateway-2","endpoint":%q,"limit_per_s":3.8`, overloaded.ID))
+	overloaded.Say(site.Says{})
+	f.waitForLog(fmt.Sprintf(`"process":"gateway-2","endpoint":%q,"limit_per_s":0`, overloaded.ID))
 	stop()
 	require.Contains(t, f.log.String(), `"relays":1`)
 }
 
-// Where no other endpoint is there, a caller whose turn cannot come in time is told so at once, and when to
-// come back, while the endpoint gets what it takes.
-func TestWhatALimitHoldsOffIsRefusedAtOnce(t *testing.T) {
+// If there is no other endpoint, a caller whose request cannot be sent in time is refused at once with a
+// Retry-After delay, while the endpoint gets as many requests as it accepts.
+func TestRequestsBeyondALimitAreRefusedAtOnce(t *testing.T) {
 	const limit, burst = 4.0, 30
 	only := plain("plain-0")
-	w := newWorld(t, only)
+	w := newFixture(t, only)
 	only.Say(site.Says{Limit: limit})
 	require.Equal(t, http.StatusOK, w.do(w.request("POST", "/freeze/0", "x")).StatusCode)
-	w.logged(`"limit_per_s":4`)
+	w.waitForLog(`"limit_per_s":4`)
 	var group sync.WaitGroup
 	for range burst {
 		r := w.request("POST", "/freeze/1", "x")
@@ -186,6 +186,6 @@
 		}
 	}
 	require.Greater(t, refused, burst*3/4)
-	require.Zero(t, unexplained, "each refusal names the endpoint, and nothing was sent")
+	require.Zero(t, unexplained, "each refusal names the endpoint, and no request was sent")
 	require.LessOrEqual(t, len(only.Arrived()), burst-refused+1)
 }
--- a/role/gateway/loss_test.go
+++ b/role/gateway/loss_test.go
@@ -22,28 +22,28 @@
 	"github.com/grademill/grademill/wire/gossip"
 )
 
-// A part that has died is found by asking it, before a report of the endpoints
-// before it tells of it: those lag, and a caller bears only a short pause.
-func TestDeadPartIsFoundBeforeReportsTellOfIt(t *testing.T) {
+// A dead part of a chain is found by checking it, before the report of an endpoint ahead of it shows the
+// stall: reports lag, and a caller tolerates only a short pause.
+func TestDeadPartIsFoundBeforeReportsShowIt(t *testing.T) {
 	t.Parallel()
 	var cards []*site.Endpoint
 	for i := range 4 {
 		cards = append(cards, card(fmt.Sprint("card-", i), "north"))
-		cards[i].ReportLag = patience
+		cards[i].ReportLag = testTimeout
 	}
-	w := newWorld(t, cards...)
+	w := newFixture(t, cards...)
 	w.eventually(func() bool { return covered(cards, 2) })
-	w.knows(cards...)
-	answer, r, later := w.mid(cards, 200)
+	w.waitForLayers(cards...)
+	answer, r, later := w.startStream(cards, 200)
 	later[0].Kill()
-	require.Equal(t, whole(200), w.rest(answer))
-	require.Contains(t, usesOf(t, w, r.Header.Get("X-Request-Id")), "moved: ")
-	layersHold(t, w)
+	require.Equal(t, fullBody(200), w.readRest(answer))
+	require.Contains(t, endLine(t, w, r.Header.Get("X-Request-Id")), "moved: ")
+	requireLayersInOrder(t, w)
 }
 
-// What another gateway says of an endpoint that it cannot reach is checked: that
-// gateway may be the one that is cut off.
-func TestWordOfADownEndpointIsChecked(t *testing.T) {
+// A gateway checks an endpoint that another gateway reports as unreachable: the other gateway may be the one
+// that is cut off.
+func TestReportOfADownEndpointIsChecked(t *testing.T) {
 	t.Parallel()
 	w, cards := newModel(t)
 	text, err := proto.Marshal(&gossip.Packet{Digest: &gossip.Digest{
@@ -61,8 +61,8 @@
 	require.NotContains(t, w.log.String(), `"endpoint":"card-1","address":"`+cards[1].Address()+`","error"`)
 }
 
-// lose tells the gateway that an endpoint gives another one no answer.
-func (w *world) lose(from, endpoint string) {
+// reportLoss sends the gateway a report that an endpoint does not answer another gateway.
+func (w *fixture) reportLoss(from, endpoint string) {
 	text, err := proto.Marshal(&gossip.Packet{Loss: &gossip.Loss{Gateway: from, Endpoint: endpoint}})
 	require.NoError(w.t, err)
 	socket, err := net.Dial("udp4", w.gateway.Address)
@@ -72,33 +72,33 @@
 	require.NoError(w.t, err)
 }
 
-// By the word of two other gateways an endpoint gets nothing new; by that of one alone it
-// does, since that one may be cut off.
-func TestWordOfTwoGatewaysIsBelieved(t *testing.T) {
+// On the reports of two other gateways an endpoint gets no new requests. The report of a single gateway is
+// not enough, since that one may be cut off.
+func TestReportsOfTwoGatewaysAreBelieved(t *testing.T) {
 	t.Parallel()
 	w, cards := newModel(t)
-	answer, _, later := w.mid(cards, 20)
-	w.rest(answer)
+	answer, _, later := w.startStream(cards, 20)
+	w.readRest(answer)
 	part := later[0]
 	for range 5 {
-		w.lose("gateway-2", part.ID)
+		w.reportLoss("gateway-2", part.ID)
 	}
 	believed := `"endpoint":"` + part.ID + `","address":"` + part.Address() + `","witnesses":2`
 	served := func() bool {
-		r := w.plan("/plan/1", 1)
+		r := w.streamRequest("/plan/1", 1)
 		require.Equal(t, http.StatusOK, w.do(r).StatusCode)
-		return strings.Contains(usesOf(t, w, r.Header.Get("X-Request-Id")), part.Address()+"[")
+		return strings.Contains(endLine(t, w, r.Header.Get("X-Request-Id")), part.Address()+"[")
 	}
 	w.eventually(served)
 	require.NotContains(t, w.log.String(), believed)
 	w.eventually(func() bool { // datagrams may be lost
-		w.lose("gateway-2", part.ID)
-		w.lose("gateway-3", part.ID)
+		w.reportLoss("gateway-2", part.ID)
+		w.reportLoss("gateway-3", part.ID)
 		return strings.Contains(w.log.String(), believed)
 	})
-	w.eventually(func() bool { // it is used again only once it has answered a check of the gateway's own
-		w.lose("gateway-2", part.ID)
-		w.lose("gateway-3", part.ID)
+	w.eventually(func() bool { // it is used again only after it has answered a check by the gateway itself
+		w.reportLoss("gateway-2", part.ID)
+		w.reportLoss("gateway-3", part.ID)
 		used := served()
 		contradicted := strings.Contains(w.log.String(), "endpoint answers, against the word of others")
 		require.True(t, !used || contradicted)
@@ -106,22 +106,22 @@
 	})
 }
 
-// An endpoint that others cannot reach is used by a gateway that can: its own check
-// contradicts them.
+// A gateway goes on using an endpoint that others cannot reach but it can: its own check contradicts their
+// reports.
 func TestOwnCheckContradictsOthers(t *testing.T) {
 	t.Parallel()
 	w, cards := newModel(t)
-	answer, _, later := w.mid(cards, 20)
-	w.rest(answer)
+	answer, _, later := w.startStream(cards, 20)
+	w.readRest(answer)
 	part := later[0]
 	believed, used := false, 0
 	w.eventually(func() bool {
-		w.lose("gateway-2", part.ID)
-		w.lose("gateway-3", part.ID)
-		r := w.plan("/plan/1", 1)
+		w.reportLoss("gateway-2", part.ID)
+		w.reportLoss("gateway-3", part.ID)
+		r := w.streamRequest("/plan/1", 1)
 		require.Equal(t, http.StatusOK, w.do(r).StatusCode)
 		believed = believed || strings.Contains(w.log.String(), "by the word of others")
-		if believed && strings.Contains(usesOf(t, w, r.Header.Get("X-Request-Id")), part.Address()+"[") {
+		if believed && strings.Contains(endLine(t, w, r.Header.Get("X-Request-Id")), part.Address()+"[") {
 			used++
 		}
 		return used >= 5
@@ -132,36 +132,35 @@
 func TestRevivedEndpointIsUsedAgain(t *testing.T) {
 	t.Parallel()
 	w, cards := newModel(t)
-	answer, _, later := w.mid(cards, 200)
+	answer, _, later := w.startStream(cards, 200)
 	later[0].Kill()
-	w.rest(answer)
-	w.logged("endpoint does not answer")
+	w.readRest(answer)
+	w.waitForLog("endpoint does not answer")
 	later[0].Revive()
-	w.logged("endpoint answers again")
+	w.waitForLog("endpoint answers again")
 }
 
-// Where nothing else holds the layers, an endpoint that seemed to be down is tried:
-// this gateway may have been too slow to hear it.
-func TestDoubtfulEndpointIsBetterThanNone(t *testing.T) {
+// If no other endpoint holds the layers, one that seemed to be down is used: this gateway may have been too
+// slow to hear it.
+func TestUncertainEndpointIsBetterThanNone(t *testing.T) {
 	t.Parallel()
 	cards := []*site.Endpoint{card("card-0", "north"), card("card-1", "north")}
-	w := newWorld(t, cards...)
+	w := newFixture(t, cards...)
 	w.eventually(func() bool { return covered(cards, 1) })
-	w.knows(cards...)
-	answer, _, later := w.mid(cards, 400)
+	w.waitForLayers(cards...)
+	answer, _, later := w.startStream(cards, 400)
 	later[0].Kill()
-	w.logged("endpoint does not answer")
+	w.waitForLog("endpoint does not answer")
 	later[0].Revive()
-	require.Equal(t, whole(3), w.do(w.plan("/plan/1", 3)).body)
+	require.Equal(t, fullBody(3), w.do(w.streamRequest("/plan/1", 3)).body)
 	answer.Body.Close() //nolint:errcheck // the stream may have broken
 }
 
-// The layers of an endpoint that has died are given to others before its record
-// lapses.
+// The layers of a dead endpoint are assigned to others before its record expires.
 func TestLayersOfADeadEndpointAreReplacedAtOnce(t *testing.T) {
 	t.Parallel()
 	w, cards := newModel(t)
-	answer, _, later := w.mid(cards, 200)
+	answer, _, later := w.startStream(cards, 200)
 	var left []*site.Endpoint
 	for _, c := range cards {
 		if c != later[0] {
@@ -170,55 +169,56 @@
 	}
 	for _, c := range left {
 		if from, to := c.Layers(); overlaps(later[0], from, to) {
-			c.Kill() // nobody else holds those layers then
+			c.Kill() // then no other endpoint holds those layers
 			left = slices.DeleteFunc(left, func(e *site.Endpoint) bool { return e == c })
 			break
 		}
 	}
 	later[0].Kill()
 	defer answer.Body.Close() //nolint:errcheck // the stream may have broken
-	w.eventually(func() bool { return w.do(w.plan("/plan/1", 3)).StatusCode == http.StatusOK && covered(left, 1) })
+	w.eventually(func() bool {
+		return w.do(w.streamRequest("/plan/1", 3)).StatusCode == http.StatusOK && covered(left, 1)
+	})
 	require.NotContains(t, w.log.String(), "endpoint gone")
 }
 
-// overlaps reports whether an endpoint holds one of the layers from first to end.
+// overlaps reports whether an endpoint holds one of the layers from first to end, exclusive.
 func overlaps(e *site.Endpoint, first, end int) bool {
 	from, to := e.Layers()
 	return from < end && first < to
 }
 
-// An endpoint that has started anew behind its old record is not chosen by that record
-// again and again: its own word on its layers counts.
-func TestEndpointsOwnWordOnItsLayersCounts(t *testing.T) {
+// An endpoint that has restarted while its old record is still in the store must not be chosen by that
+// record again and again: the endpoint's own report of its layers takes precedence.
+func TestEndpointsOwnReportOfItsLayersCounts(t *testing.T) {
 	t.Parallel()
 	w, cards := newModel(t)
-	answer, _, later := w.mid(cards, 20)
-	w.rest(answer)
+	answer, _, later := w.startStream(cards, 20)
+	w.readRest(answer)
 	later[0].Restart()
 	refused := func() int {
 		return strings.Count(w.log.String(), `"blamed":"`+later[0].Address()+`"`)
 	}
 	w.eventually(func() bool {
-		w.do(w.plan("/plan/1", 1))
+		w.do(w.streamRequest("/plan/1", 1))
 		return refused() > 0
 	})
 	for begun := time.Now(); time.Since(begun) < 1500*time.Millisecond; {
-		require.Equal(t, http.StatusOK, w.do(w.plan("/plan/1", 1)).StatusCode)
+		require.Equal(t, http.StatusOK, w.do(w.streamRequest("/plan/1", 1)).StatusCode)
 	}
 	require.LessOrEqual(t, refused(), 2)
 }
 
-// A first endpoint that takes requests and ends their connections, while it passes its
-// checks, is passed over after a few: all requests went on to it, and the retries of all
-// were used up.
-func TestFirstEndpointThatDropsRequestsIsPassedOver(t *testing.T) {
+// A first endpoint that passes its checks, but accepts requests and closes their connections, is avoided
+// after a few of them. Without this all requests went to it, and their retries used up the retry budget.
+func TestFirstEndpointThatDropsRequestsIsAvoided(t *testing.T) {
 	t.Parallel()
 	cards := []*site.Endpoint{
 		card("north-0", "north"), card("north-1", "north"), card("south-0", "south"), card("south-1", "south"),
 	}
-	w := newWorld(t, cards...)
+	w := newFixture(t, cards...)
 	w.eventually(func() bool { return covered(cards, 2) })
-	w.knows(cards...)
+	w.waitForLayers(cards...)
 	var first *site.Endpoint
 	for _, c := range cards[:2] {
 		if from, _ := c.Layers(); from == 0 {
@@ -229,64 +229,65 @@
 	first.Stay(site.Drop)
 	const requests = 40
 	for range requests {
-		require.Equal(t, whole(3), w.do(w.plan("/plan/1", 3)).body)
+		require.Equal(t, fullBody(3), w.do(w.streamRequest("/plan/1", 3)).body)
 	}
-	require.Less(t, len(first.Seen()), requests/2, "three in a row, and one at the end of each pause")
+	require.Less(t, len(first.Seen()), requests/2, "three in a row, and one at the end of each backoff period")
 }
 
-// A process that is held up cannot tell whether an endpoint is silent. It checks again when it
-// is not held up any more, also when nothing passes through the endpoint then: a stream that
-// stood still had been broken off after 3.7 s, all its checks had fallen into the busy time, and
-// the dead endpoint was used by the next ones.
-func TestEndpointIsCheckedAgainAfterAHeldUpCheck(t *testing.T) {
+// A process that is starved of processor time cannot tell whether an endpoint is silent, so it checks again
+// once it has time, even if nothing passes through the endpoint then. Without this a stalled stream was
+// broken off after 3.7 s, all its checks had fallen into the busy time, and the next streams used the dead
+// endpoint.
+func TestEndpointIsCheckedAgainAfterAStarvedCheck(t *testing.T) {
 	t.Parallel()
-	w, heldUp := dieWhileHeldUp(t)
-	heldUp.Store(false)
-	w.logged("endpoint does not answer")
+	w, starved := killWhileStarved(t)
+	starved.Store(false)
+	w.waitForLog("endpoint does not answer")
 }
 
-// A dead endpoint stayed in use where the process was held up for longer than it went on checking.
-func TestEndpointIsInUseAfterALongHeldUpSpell(t *testing.T) {
+// Guards against a dead endpoint that stays in use because the process was starved for longer than it
+// repeats checks.
+func TestDeadEndpointIsFoundAfterLongStarvation(t *testing.T) {
 	t.Parallel()
-	w, heldUp := dieWhileHeldUp(t)
+	w, heldUp := killWhileStarved(t)
 	time.Sleep(6 * time.Second)
 	heldUp.Store(false)
-	w.logged("endpoint does not answer")
+	w.waitForLog("endpoint does not answer")
 }
 
-// dieWhileHeldUp has an endpoint die under a stream while all checks are held up, until the stream has
-// broken off.
-func dieWhileHeldUp(t *testing.T) (*world, *atomic.Bool) {
-	heldUp := new(atomic.Bool)
+// killWhileStarved kills an endpoint under a stream while all checks are starved, and returns when the
+// stream has broken off.
+func killWhileStarved(t *testing.T) (*fixture, *atomic.Bool) {
+	starved := new(atomic.Bool)
 	cards := []*site.Endpoint{card("card-0", "north"), card("card-1", "north")}
-	w := newWorldWith(t, func(g *gateway.Gateway) {
+	w := newFixtureWith(t, func(g *gateway.Gateway) {
 		g.Silence = func(answered <-chan struct{}) error {
-			if heldUp.Load() {
+			if starved.Load() {
 				return probe.ErrHeldUp
 			}
 			return probe.Silence(answered)
 		}
 	}, cards...)
 	w.eventually(func() bool { return covered(cards, 1) })
-	w.knows(cards...)
-	answer, r, later := w.mid(cards, 400)
-	heldUp.Store(true)
+	w.waitForLayers(cards...)
+	answer, r, later := w.startStream(cards, 400)
+	starved.Store(true)
 	later[0].Kill()
 	_, err := io.ReadAll(answer.Body)
-	require.Error(t, err, "nothing else holds the layers")
-	usesOf(t, w, r.Header.Get("X-Request-Id")) // it has ended
+	require.Error(t, err, "no other endpoint holds the layers")
+	endLine(t, w, r.Header.Get("X-Request-Id")) // waits until the request has ended
 	require.NotContains(t, w.log.String(), "endpoint does not answer")
-	return w, heldUp
+	return w, starved
 }
 
-// unheard is the control of endpoints whose answers this process has no time to hear.
-type unheard struct {
+// starvedControl is the control of endpoints whose answers this process has no time to read.
+type starvedControl struct {
 	runner.Control
 	on    atomic.Bool
 	asked atomic.Int64
 }
 
-func (u *unheard) Report(ctx context.Context, address string) (runner.Report, error) {
+func (u *starvedControl) Report(ctx context.Context, address string) (runner.Report, error) {
 	if !u.on.Load() {
 		return u.Control.Report(ctx, address)
 	}
@@ -295,20 +296,20 @@
 	return runner.Report{}, context.Cause(ctx)
 }
 
-// A process that is held up asks an endpoint again only while nothing comes through it: in a
-// burst past capacity each late event brought five seconds of checks, which held the process up
-// further, and the one of them that was judged by chance broke streams off that went on.
-func TestEndpointThatGivesEventsIsNotCheckedAgain(t *testing.T) {
+// A starved process repeats checks of an endpoint only while nothing comes through it. In a burst beyond
+// capacity, each late event caused five seconds of checks, which starved the process further, and the single
+// check that happened to be conclusive broke off streams that were progressing.
+func TestEndpointThatSendsEventsIsNotCheckedAgain(t *testing.T) {
 	t.Parallel()
-	var u *unheard
+	var u *starvedControl
 	var cards []*site.Endpoint
 	for i := range 2 {
 		c := card(fmt.Sprint("card-", i), "north")
 		c.EventEvery = 300 * time.Millisecond
 		cards = append(cards, c)
 	}
-	w := newWorldWith(t, func(g *gateway.Gateway) {
-		u = &unheard{Control: g.Runners}
+	w := newFixtureWith(t, func(g *gateway.Gateway) {
+		u = &starvedControl{Control: g.Runners}
 		g.Runners = u
 		g.Silence = func(answered <-chan struct{}) error {
 			if u.on.Load() {
@@ -318,19 +319,19 @@
 		}
 	}, cards...)
 	w.eventually(func() bool { return covered(cards, 1) })
-	w.knows(cards...)
+	w.waitForLayers(cards...)
 	u.on.Store(true)
 	const events = 12
-	require.Equal(t, whole(events), w.do(w.plan("/plan/1", events)).body)
-	// 48 and 49 without any further checks, with those of the leader of orders; 68 with a check
-	// every 0.25 s for each late event.
+	require.Equal(t, fullBody(events), w.do(w.streamRequest("/plan/1", events)).body)
+	// 48 and 49 without repeated checks, including those of the leader; 68 with a check every 0.25 s for
+	// each late event.
 	require.Less(t, u.asked.Load(), int64(58))
 }
 
-// While the only endpoint that held the first layers was gone, each request was sent to it four times within
-// milliseconds, since nothing else was left: 306 connections refused in 1.2 s, which used up the retries of all,
-// so that streams were broken off with "the retry budget is used up" before others had loaded its layers.
-func TestNothingIsSentToWhatRefusesConnections(t *testing.T) {
+// While the only endpoint with the first layers was gone, each request was sent to it four times within
+// milliseconds, since there was no other: 306 refused connections in 1.2 s used up the retry budget, so that
+// streams were broken off with "the retry budget is used up" before other endpoints had loaded the layers.
+func TestNothingIsSentToAnEndpointThatRefusesConnections(t *testing.T) {
 	w, cards := newModelOf(t, 2, 1)
 	for _, c := range cards {
 		if from, _ := c.Layers(); from == 0 {
@@ -339,18 +340,18 @@
 		}
 	}
 	ask := func() *http.Request {
-		r := w.plan("/plan/1", 3)
+		r := w.streamRequest("/plan/1", 3)
 		r.Header.Set("X-Deadline-Ms", "1000")
 		return r
 	}
-	w.eventually(func() bool { // a check that was begun before may have passed
+	w.eventually(func() bool { // a check that began earlier may have passed
 		w.do(ask())
 		return strings.Contains(w.log.String(), `"ended":true`)
 	})
 	r := ask()
 	id := r.Header.Get("X-Request-Id")
-	notRun(t, w.do(r), id, cards...)
-	w.logged(`"request":"` + id + `","route"`)
+	requireNotRun(t, w.do(r), id, cards...)
+	w.waitForLog(`"request":"` + id + `","route"`)
 	for _, line := range strings.Split(w.log.String(), "\n") {
 		if strings.Contains(line, `"request":"`+id+`"`) && strings.Contains(line, "request ended") {
 			require.Contains(t, line, `"sends":0`)
--- a/role/gateway/order_test.go
+++ b/role/gateway/order_test.go
@@ -16,8 +16,8 @@
 	"github.com/grademill/grademill/wire/gossip"
 )
 
-// A gateway knows of the orders that another one has given, before the endpoints' records
-// tell of them: layers that an endpoint has been ordered to give up get nothing new.
+// A gateway knows the orders that another one has given before the endpoints' records show them: layers that
+// an endpoint has been ordered to release get no new requests.
 func TestLayersGivenUpGetNothingNew(t *testing.T) {
 	t.Parallel()
 	w, cards := newModel(t)
@@ -27,12 +27,12 @@
 			first = c
 		}
 	}
-	w.eventually(func() bool { // a record may be known before the order that brought it about has been answered
+	w.eventually(func() bool { // a record may arrive before the order that caused it has been answered
 		return strings.Count(w.log.String(), `"message":"order given"`) >= len(cards)
 	})
 	number := uint64(0)
 	digest := func() []byte {
-		number++ // one that is not newer is passed over
+		number++ // a digest that is not newer is ignored
 		text, err := proto.Marshal(&gossip.Packet{Digest: &gossip.Digest{
 			Gateway: "gateway-2", Incarnation: 1, Number: number, Leading: true,
 			Uses: []*gossip.Use{{Endpoint: first.ID, OrderedFirst: 7, OrderedEnd: 8}},
@@ -44,14 +44,14 @@
 	require.NoError(t, err)
 	defer socket.Close() //nolint:errcheck // a test's socket
 	served := func() int {
-		require.Equal(t, http.StatusOK, w.do(w.plan("/plan/1", 2)).StatusCode)
+		require.Equal(t, http.StatusOK, w.do(w.streamRequest("/plan/1", 2)).StatusCode)
 		return len(first.Seen())
 	}
-	w.eventually(func() bool { // until the digest has been taken in
+	w.eventually(func() bool { // until the digest has been processed
 		_, err := socket.Write(digest())
 		require.NoError(t, err)
 		before := len(first.Seen())
-		for range 12 { // by chance one in two goes elsewhere
+		for range 12 { // on average one in two goes elsewhere
 			if served() != before {
 				return false
 			}
@@ -65,9 +65,9 @@
 	require.Len(t, first.Seen(), before)
 }
 
-// A gateway that reads the store for the first time closes no hole at once: the records of
-// endpoints that live may have lapsed while the store was away, and are written again.
-func TestNoHoleIsClosedBeforeLapsedRecordsAreBack(t *testing.T) {
+// A gateway that reads the store for the first time does not assign uncovered layers at once: the records of
+// live endpoints may have expired while the store was away, and will be written again.
+func TestUncoveredLayersWaitForLapsedRecords(t *testing.T) {
 	t.Parallel()
 	s, err := site.New(layers)
 	require.NoError(t, err)
@@ -83,30 +83,30 @@
 		cards = append(cards, c)
 	}
 	s.Withdraw(cards[0])
-	w := &world{t: t, site: s, log: new(syncBuffer)}
+	w := &fixture{t: t, site: s, log: new(syncBuffer)}
 	w.configure(true)
 	w.gateway = w.start("gateway-1")
 	w.target = w.serve(w.gateway)
-	w.logged("this gateway gives orders")
-	s.Announce(cards[0]) // some rounds of orders pass until the gateway knows of it
-	w.knows(cards...)
-	require.Equal(t, http.StatusOK, w.do(w.plan("/plan/1", 3)).StatusCode)
+	w.waitForLog("this gateway gives orders")
+	s.Announce(cards[0]) // the gateway learns of it only after some rounds of orders
+	w.waitForLayers(cards...)
+	require.Equal(t, http.StatusOK, w.do(w.streamRequest("/plan/1", 3)).StatusCode)
 	require.NotContains(t, w.log.String(), "order given")
 }
 
-// That a gateway of another hall gives orders is not told on to the halls: it would be told
-// back for ever, and nobody would take the right over when it has ended.
-func TestWordOfAGiverIsNotEchoed(t *testing.T) {
+// A report that a gateway of another hall is the leader is not relayed to the halls: it would be echoed
+// forever, and no gateway would take over when the leader has ended.
+func TestReportOfALeaderIsNotEchoed(t *testing.T) {
 	t.Parallel()
 	s, err := site.New(layers)
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
 	s.Store.Set("grademill/giver", "another")
-	w := &world{t: t, site: s, log: new(syncBuffer)}
+	w := &fixture{t: t, site: s, log: new(syncBuffer)}
 	w.configure(true)
 	w.gateway = w.start("gateway-1")
 	w.eventually(w.gateway.Ready)
-	tells := func(d *gossip.Digest, number uint64) bool {
+	echoes := func(d *gossip.Digest, number uint64) bool {
 		d.Incarnation, d.Number, d.Leading = 1, number, true
 		text, err := proto.Marshal(&gossip.Packet{Digest: d})
 		require.NoError(t, err)
@@ -119,11 +119,11 @@
 		return w.gateway.Digest(time.Now(), map[string]peers.Share{}).GetLeading()
 	}
 	for n := range uint64(20) {
-		require.False(t, tells(&gossip.Digest{Gateway: "gateway-8", Hall: "south", Members: 3}, n+1))
+		require.False(t, echoes(&gossip.Digest{Gateway: "gateway-8", Hall: "south", Members: 3}, n+1))
 	}
 	number := uint64(0)
 	w.eventually(func() bool {
 		number++
-		return tells(&gossip.Digest{Gateway: "gateway-2", Hall: "north"}, number)
+		return echoes(&gossip.Digest{Gateway: "gateway-2", Hall: "north"}, number)
 	})
 }
--- a/role/gateway/plain_test.go
+++ b/role/gateway/plain_test.go
@@ -11,12 +11,12 @@
 	"github.com/grademill/grademill/standin/site"
 )
 
-// What an endpoint gets: the request as it came, but for what concerns one
-// connection, the key, and what the gateway says.
+// An endpoint gets the request as the caller sent it, without the key and the hop-by-hop headers, and with
+// the gateway's own headers.
 func TestEndpointGetsTheRequestAsItCame(t *testing.T) {
 	t.Parallel()
 	e := plain("a")
-	w := newWorld(t, e)
+	w := newFixture(t, e)
 	r := w.request("POST", "/renew/7?member=%2f9", "the body")
 	r.Header.Set("X-Tenant", "somebody else")
 	r.Header.Set("X-Other", "kept")
@@ -38,14 +38,14 @@
 	require.Empty(t, got.Header.Get("Te"))
 }
 
-// Each way in which an endpoint fails a request, what the caller is told, and how
-// often the request ran.
+// Each way in which an endpoint fails a request, with the answer to the caller and how often the request
+// ran.
 func TestFailuresOfEndpoints(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		name string
 		path string
-		// modes are those of the first requests that arrive at any endpoint.
+		// modes are the modes for the first requests that arrive at any endpoint.
 		modes        []site.Mode
 		status, runs int
 	}{
@@ -65,7 +65,7 @@
 		{"after an answer of another request", "/renew/", []site.Mode{site.Twice}, 200, 1},
 	}
 	a, b, c := plain("a"), plain("b"), plain("c")
-	w := newWorld(t, a, b, c)
+	w := newFixture(t, a, b, c)
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
 			w.site.Next(records, one.modes...)
@@ -87,20 +87,20 @@
 func TestRefusedEverywhereHasNotRun(t *testing.T) {
 	t.Parallel()
 	a, b := plain("a"), plain("b")
-	w := newWorld(t, a, b)
+	w := newFixture(t, a, b)
 	a.Stay(site.Refuse)
 	b.Stay(site.Refuse)
 	for _, path := range []string{"/renew/", "/freeze/"} {
 		r := w.request("POST", path, "x")
-		notRun(t, w.do(r), r.Header.Get("X-Request-Id"), a, b)
+		requireNotRun(t, w.do(r), r.Header.Get("X-Request-Id"), a, b)
 	}
 }
 
-// A caller that leaves ends the work at the endpoint.
+// A caller that hangs up ends the work at the endpoint.
 func TestCallerThatLeavesEndsTheWork(t *testing.T) {
 	t.Parallel()
 	e := plain("a")
-	w := newWorld(t, e)
+	w := newFixture(t, e)
 	e.Stay(site.Hang)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -112,13 +112,13 @@
 	w.eventually(func() bool { return len(e.Seen()) == 1 })
 	cancel()
 	w.eventually(func() bool { return e.Left() == 1 })
-	w.logged(`"outcome":"caller left"`)
+	w.waitForLog(`"outcome":"caller left"`)
 }
 
 func TestRejections(t *testing.T) {
 	t.Parallel()
 	e := plain("a")
-	w := newWorld(t, e)
+	w := newFixture(t, e)
 	cases := []struct {
 		name   string
 		change func(*http.Request)
@@ -129,7 +129,7 @@
 		{"unknown key", func(r *http.Request) { r.Header.Set("Authorization", "Token nobody") }, http.StatusUnauthorized},
 		{"no key", func(r *http.Request) { r.Header.Del("Authorization") }, http.StatusUnauthorized},
 		{"no ID", func(r *http.Request) { r.Header.Del("X-Request-Id") }, http.StatusBadRequest},
-		{"bad patience", func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "soon") }, http.StatusBadRequest},
+		{"bad deadline", func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "soon") }, http.StatusBadRequest},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/role/gateway/share_test.go
+++ b/role/gateway/share_test.go
@@ -15,59 +15,59 @@
 	"github.com/grademill/grademill/standin/site"
 )
 
-// counted serves the store, and counts questions for changes by who asks.
-type counted struct {
+// countingStore serves the store and counts the watch calls of one gateway.
+type countingStore struct {
 	next  http.Handler
 	calls atomic.Int64
 }
 
-func (c *counted) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *countingStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/-/kv-watch" {
 		c.calls.Add(1)
 	}
 	c.next.ServeHTTP(w, r)
 }
 
-// crowd starts more gateways than a small fleet has, each with its own way to the store.
-func crowd(t *testing.T, w *world) ([]*gateway.Gateway, []*counted) {
+// startLargeFleet starts more gateways than a small fleet has, each with its own handler to reach the store.
+func startLargeFleet(t *testing.T, w *fixture) ([]*gateway.Gateway, []*countingStore) {
 	var gateways []*gateway.Gateway
-	var ways []*counted
+	var stores []*countingStore
 	for i := range overlay.FlatSize + 2 {
-		way := &counted{next: w.site.Store}
-		server := httptest.NewServer(way)
+		store := &countingStore{next: w.site.Store}
+		server := httptest.NewServer(store)
 		t.Cleanup(server.Close)
 		gateways = append(gateways, w.startAt(fmt.Sprint("crowd-", i), server.Listener.Addr().String()))
-		ways = append(ways, way)
+		stores = append(stores, store)
 	}
-	return gateways, ways
+	return gateways, stores
 }
 
-// askers returns how many of the ways to the store are used in a while.
-func askers(ways []*counted) int {
-	before := make([]int64, len(ways))
-	for i, way := range ways {
-		before[i] = way.calls.Load()
+// countQueriers returns how many of the gateways query the store within 2.5 s.
+func countQueriers(stores []*countingStore) int {
+	before := make([]int64, len(stores))
+	for i, store := range stores {
+		before[i] = store.calls.Load()
 	}
-	time.Sleep(2500 * time.Millisecond) // two questions
+	time.Sleep(2500 * time.Millisecond) // two watch calls
 	n := 0
-	for i, way := range ways {
-		if way.calls.Load() > before[i] {
+	for i, store := range stores {
+		if store.calls.Load() > before[i] {
 			n++
 		}
 	}
 	return n
 }
 
-// In a large fleet two gateways of a hall ask the store, and the others ask these: all
-// stay ready, learn of changes, and refuse a key that was taken away.
-func TestFewGatewaysAskTheStore(t *testing.T) {
+// In a large fleet two gateways of a hall query the store, and the others query these two: all stay ready,
+// learn of changes, and reject a revoked key.
+func TestFewGatewaysQueryTheStore(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, plain("a"))
-	gateways, ways := crowd(t, w)
+	w := newFixture(t, plain("a"))
+	gateways, stores := startLargeFleet(t, w)
 	for _, g := range gateways {
 		w.eventually(g.Ready)
 	}
-	w.eventually(func() bool { return askers(ways) <= 2 })
+	w.eventually(func() bool { return countQueriers(stores) <= 2 })
 	var targets []string
 	for _, g := range gateways {
 		targets = append(targets, w.serve(g))
@@ -91,11 +91,11 @@
 	}
 }
 
-// A gateway stays announced while the store answers nobody, for longer than a lease of the store lasts
-// without renewal, and announces itself no second time after it.
+// A gateway stays announced while the store answers nobody, even for longer than an unrenewed lease lasts,
+// and does not announce itself again afterwards.
 func TestAnnouncementOutlastsAnOutage(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, plain("a"))
+	w := newFixture(t, plain("a"))
 	announced := func() []string { return w.site.Store.Keys("grademill/gateways/") }
 	w.eventually(func() bool { return len(announced()) == 1 })
 	w.site.Store.Break(func(*http.Request) site.Fault { return site.Fault{Status: http.StatusServiceUnavailable} })
@@ -104,21 +104,21 @@
 	require.Len(t, announced(), 1)
 	w.site.Store.Break(nil)
 	w.eventually(w.gateway.Ready)
-	time.Sleep(3 * time.Second) // more than the time between two looks
+	time.Sleep(3 * time.Second) // longer than the interval between two checks
 	require.Len(t, announced(), 1)
 	require.NotContains(t, w.log.String(), "this gateway is not announced")
 }
 
-// A gateway that joins a large fleet asks those that ask the store for its hall what has changed, from its
-// first question on, though it has heard of none of them yet.
-func TestGatewayThatJoinsALargeFleetAsksOthers(t *testing.T) {
+// A gateway that joins a large fleet queries the gateways that query the store for its hall. It does so from
+// its first watch call, although it has not yet heard from any of them.
+func TestGatewayThatJoinsALargeFleetQueriesPeers(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, plain("a"))
-	gateways, ways := crowd(t, w)
+	w := newFixture(t, plain("a"))
+	gateways, stores := startLargeFleet(t, w)
 	for _, g := range gateways {
 		w.eventually(g.Ready)
 	}
-	w.eventually(func() bool { return askers(ways) <= 2 })
+	w.eventually(func() bool { return countQueriers(stores) <= 2 })
 	view := overlay.Overlay{}
 	for _, g := range append(gateways, w.gateway) {
 		view.Others = append(view.Others, overlay.Member{Name: g.Name, Hall: g.Hall, Heard: true})
@@ -133,12 +133,12 @@
 		w.site.Store.SetText(fmt.Sprint("other/", i), nil)
 	}
 	w.site.Store.Age()
-	w.site.Store.SetText("other/last", nil) // what the stale pages show is old
-	way := &counted{next: w.site.Store}
-	server := httptest.NewServer(way)
+	w.site.Store.SetText("other/last", nil) // the stale pages do not show this key
+	store := &countingStore{next: w.site.Store}
+	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
 	newcomer := w.startAt(view.Self.Name, server.Listener.Addr().String())
 	w.eventually(newcomer.Ready)
-	require.Zero(t, askers([]*counted{way}))
-	require.Zero(t, way.calls.Load())
+	require.Zero(t, countQueriers([]*countingStore{store}))
+	require.Zero(t, store.calls.Load())
 }
--- a/role/gateway/spared_test.go
+++ b/role/gateway/spared_test.go
@@ -11,34 +11,34 @@
 	"github.com/grademill/grademill/standin/site"
 )
 
-// A request that ended endpoints was tried apart, for its third end, at the last endpoint that held the first
-// layers: one a hall had them, and two halls had lost theirs to the same request. No chain began anywhere for
-// 0.7 s then, 87 requests were refused and 124 streams broken off.
-func TestSuspectIsTriedAtAnEndpointThatCanBeSpared(t *testing.T) {
+// A request that ended endpoints was isolated, for its third end, at the last endpoint with the first
+// layers: each hall had one such endpoint, and two halls had lost theirs to the same request. For 0.7 s no
+// chain could begin anywhere, 87 requests were refused and 124 streams broken off.
+func TestSuspectIsIsolatedAtASpareEndpoint(t *testing.T) {
 	halls := []string{"north", "south", "west"}
 	var endpoints []*site.Endpoint
 	for _, hall := range halls {
 		endpoints = append(endpoints, card("first-"+hall, hall), card("second-"+hall, hall))
 	}
-	f := newCrowd(t, halls, endpoints...)
+	f := newFleetInHalls(t, halls, endpoints...)
 	f.eventually(func() bool { return covered(endpoints, len(halls)) })
-	f.knows(endpoints...)
-	f.site.Doom(deadly)
-	stop := f.press(20, func() *http.Request { return f.plan("/plan/1", 3) })
-	bare := 0
+	f.waitForLayers(endpoints...)
+	f.site.Doom(poison)
+	stop := f.generateLoad(20, func() *http.Request { return f.streamRequest("/plan/1", 3) })
+	uncovered := 0
 	for arrival := range 12 {
-		r := f.aim(f.request("POST", "/plan/9", deadly), arrival)
+		r := f.roundRobin(f.request("POST", "/plan/9", poison), arrival)
 		r.Header.Set("X-Token-Usage", "10,3")
 		r.Header.Set("X-Deadline-Ms", "300")
 		f.do(r)
 		live := slices.DeleteFunc(slices.Clone(endpoints), func(e *site.Endpoint) bool { return slices.Contains(f.site.Ended(), e) })
 		if !covered(live, 1) {
-			bare++
+			uncovered++
 		}
-		time.Sleep(arrivalEvery)
+		time.Sleep(arrivalInterval)
 	}
 	answers := stop()
-	t.Logf("%d ended, %d looks without a chain, %v", len(f.site.Ended()), bare, answers)
+	t.Logf("%d ended, %d checks without a chain, %v", len(f.site.Ended()), uncovered, answers)
 	require.NotEmpty(t, f.site.Ended())
-	require.Zero(t, bare, "there is always an endpoint at which chains begin")
+	require.Zero(t, uncovered, "an endpoint with the first layers is always left")
 }
--- a/role/gateway/store_test.go
+++ b/role/gateway/store_test.go
@@ -20,21 +20,21 @@
 	"github.com/grademill/grademill/wire/gossip"
 )
 
-// A configuration that takes the key away is in force soon.
+// A configuration that removes a key takes effect soon.
 func TestRevokedKeyIsRejected(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, plain("a"))
+	w := newFixture(t, plain("a"))
 	require.Equal(t, http.StatusOK, w.do(w.request("POST", "/renew/", "x")).StatusCode)
 	w.configure(false)
 	w.eventually(func() bool { return w.do(w.request("POST", "/renew/", "x")).StatusCode == http.StatusUnauthorized })
 }
 
-// A gateway that is out of touch with the store does not know whether a key has
-// been taken away: it refuses requests with a key, in time, and serves the others.
-func TestKeysAreNotServedWithoutProof(t *testing.T) {
+// A gateway without contact to the store does not know whether a key has been revoked: within the revocation
+// time it stops serving requests with a key, and goes on serving the others.
+func TestKeysAreRefusedWithoutFreshnessProof(t *testing.T) {
 	t.Parallel()
 	e := plain("a")
-	w := newWorld(t, e)
+	w := newFixture(t, e)
 	begun := time.Now()
 	w.site.Store.Break(func(*http.Request) site.Fault { return site.Fault{Silent: true} })
 	var last time.Time
@@ -46,7 +46,7 @@
 			last = sent
 			return false
 		}
-		notRun(t, answer, r.Header.Get("X-Request-Id"), e)
+		requireNotRun(t, answer, r.Header.Get("X-Request-Id"), e)
 		return true
 	})
 	require.Less(t, last.Sub(begun), w.gateway.Revocation)
@@ -56,16 +56,16 @@
 	w.eventually(func() bool { return w.do(w.request("POST", "/renew/", "x")).StatusCode == http.StatusOK })
 }
 
-// A host may be suspended for seconds. The steady clock stands still meanwhile, and by it the
-// proof that the configuration is current is as young as before: the clock that goes on counts.
-func TestKeysAreNotServedAfterASuspension(t *testing.T) {
+// A host may be suspended for seconds. The monotonic clock stops meanwhile, and by it the freshness proof of
+// the configuration would be as young as before: the clock that includes suspension must count.
+func TestKeysAreRefusedAfterSuspension(t *testing.T) {
 	t.Parallel()
 	for name, suspended := range map[string]time.Duration{"suspended": 10 * time.Second, "not suspended": 0} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e := plain("a")
 			var ahead atomic.Int64
-			w := newWorldWith(t, func(g *gateway.Gateway) {
+			w := newFixtureWith(t, func(g *gateway.Gateway) {
 				g.Clock = func() time.Time { return hostclock.Now().Add(time.Duration(ahead.Load())) }
 			}, e)
 			w.eventually(func() bool { return w.do(w.request("POST", "/renew/", "x")).StatusCode == http.StatusOK })
@@ -77,7 +77,7 @@
 				require.Equal(t, http.StatusOK, answer.StatusCode)
 				return
 			}
-			notRun(t, answer, r.Header.Get("X-Request-Id"), e)
+			requireNotRun(t, answer, r.Header.Get("X-Request-Id"), e)
 			require.False(t, w.gateway.Ready())
 			require.Equal(t, http.StatusOK, w.do(w.request("GET", "/open/", "")).StatusCode, "without a key")
 			w.site.Store.Break(nil)
@@ -86,12 +86,12 @@
 	}
 }
 
-// Without the bound of revocation a gateway that is out of touch goes on running
-// requests with a key that was taken away: the bound is what keeps the promise.
-func TestRevokedKeyRunsWithoutTheBound(t *testing.T) {
+// Without the revocation bound, a gateway that has lost the store keeps serving requests with a revoked key.
+// The tests above pass only because of the bound.
+func TestRevokedKeyIsServedWithoutRevocationBound(t *testing.T) {
 	t.Parallel()
 	e := plain("a")
-	w := newWorld(t, e)
+	w := newFixture(t, e)
 	unbound := w.startWith("gateway-2", w.site.StoreAddress, func(g *gateway.Gateway) { g.Revocation = 0 })
 	w.eventually(unbound.Ready)
 	w.site.Store.Break(func(*http.Request) site.Fault { return site.Fault{Silent: true} })
@@ -106,13 +106,13 @@
 	require.Equal(t, 1, e.Ran(r.Header.Get("X-Request-Id")))
 }
 
-// switched serves the store until it is cut, and refuses all calls meanwhile.
-type switched struct {
+// severableStore serves the store, and refuses all calls while it is cut.
+type severableStore struct {
 	store *site.Store
 	cut   atomic.Bool
 }
 
-func (s *switched) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *severableStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.cut.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -120,10 +120,10 @@
 	s.store.ServeHTTP(w, r)
 }
 
-// startSwitched runs a second gateway, to which requests go from then on, and returns what cuts it from the
-// store.
-func (w *world) startSwitched() (*gateway.Gateway, *switched) {
-	store := &switched{store: w.site.Store}
+// startSeverable runs a second gateway, which receives the requests from then on, and returns it with a
+// handler that can cut it from the store.
+func (w *fixture) startSeverable() (*gateway.Gateway, *severableStore) {
+	store := &severableStore{store: w.site.Store}
 	server := httptest.NewServer(store)
 	w.t.Cleanup(server.Close)
 	second := w.startAt("gateway-2", strings.TrimPrefix(server.URL, "http://"))
@@ -133,19 +133,18 @@
 	return second, store
 }
 
-// A gateway that alone loses the store stops being ready while it can still serve,
-// ends the connections of its callers, and in the end tells them to come back at
-// once, since another gateway serves them. It is ready again when the store is
-// back.
+// A gateway that alone loses the store stops being ready while it can still serve, and closes its callers'
+// connections. Once its freshness proof is too old it tells callers to retry at once, since another gateway
+// serves them. It is ready again when the store is back.
 func TestGatewayThatAloneLosesTheStoreSendsCallersAway(t *testing.T) {
 	t.Parallel()
 	e := plain("a")
-	w := newWorld(t, e)
-	second, store := w.startSwitched()
+	w := newFixture(t, e)
+	second, store := w.startSeverable()
 	require.False(t, w.do(w.request("POST", "/renew/", "x")).Close)
 
 	store.cut.Store(true)
-	w.logged(`"apart":true`)
+	w.waitForLog(`"apart":true`)
 	require.False(t, second.Ready())
 	require.True(t, w.gateway.Ready())
 	require.Less(t, second.CallerLimits().IdleTimeout, time.Second)
@@ -159,10 +158,10 @@
 			served++
 			return false
 		}
-		notRun(t, refused, r.Header.Get("X-Request-Id"), e)
+		requireNotRun(t, refused, r.Header.Get("X-Request-Id"), e)
 		return true
 	})
-	require.Positive(t, served, "it serves until the proof is too old")
+	require.Positive(t, served, "it serves until its freshness proof is too old")
 	wait, err := strconv.ParseFloat(refused.Header.Get("Retry-After"), 64)
 	require.NoError(t, err)
 	require.Less(t, wait, 0.1)
@@ -175,7 +174,7 @@
 // When all gateways lose the store, none sends its callers to the others.
 func TestCallersStayWhenAllLoseTheStore(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, plain("a"))
+	w := newFixture(t, plain("a"))
 	second := w.start("gateway-2")
 	w.eventually(second.Ready)
 	w.eventually(func() bool { return len(w.site.Store.Keys("grademill/gateways/")) == 2 })
@@ -184,18 +183,18 @@
 	require.NotContains(t, w.log.String(), `"apart":true`)
 }
 
-// A configuration that cannot be read leaves the former one in force, and a record that cannot
-// names no endpoint to use, whatever stood there before; lines say so.
-func TestGarbledRecordsAreNotTakenIn(t *testing.T) {
+// A configuration that cannot be decoded leaves the previous one in force. An endpoint whose record cannot
+// be decoded gets no requests, whatever its previous record said. Both are logged.
+func TestMalformedRecordsAreIgnored(t *testing.T) {
 	t.Parallel()
 	e, other := plain("a"), plain("b")
-	w := newWorld(t, e, other)
+	w := newFixture(t, e, other)
 	w.site.Store.SetText("op/config", []byte(`{"version": 99, "routes": [{"kind": "whatever"}]}`))
 	w.site.Store.SetText("servers/a", []byte(`{"service": 7}`))
-	w.logged("configuration not understood")
-	w.logged("record not understood")
-	w.logged(`"endpoint":"a","message":"endpoint gone"`)
-	w.eventually(func() bool { // in force a moment after its line
+	w.waitForLog("configuration not understood")
+	w.waitForLog("record not understood")
+	w.waitForLog(`"endpoint":"a","message":"endpoint gone"`)
+	w.eventually(func() bool { // takes effect shortly after it is logged
 		seen := len(e.Seen())
 		for range 10 {
 			require.Equal(t, http.StatusOK, w.do(w.request("POST", "/renew/", "x")).StatusCode)
@@ -204,71 +203,70 @@
 	})
 }
 
-// When all gateways of a large fleet start together, the store has seconds of work with their
-// reading of all its records: 286 gateways before 2,950 endpoints had read the first page, with the
-// configuration, 0.5 s after their start, and all seven after 3.4 s. Until then they refused all
-// ("the configuration is not known to be current"), though they knew enough to serve.
-// Those of plain services still are: the few endpoints that are known would get all of them.
-func TestGatewayServesByWhatItHasRead(t *testing.T) {
+// When all gateways of a large fleet start together, the store is busy for seconds while they read all
+// records: 286 gateways with 2,950 endpoints had read the first page, with the configuration, after 0.5 s,
+// and all seven pages after 3.4 s. Until then they refused every request ("the configuration is not known to
+// be current") although they knew enough to serve. Requests for plain services are still refused until all
+// is read: the few known endpoints would get all of them.
+func TestGatewayServesFromPartialRead(t *testing.T) {
 	t.Parallel()
 	w, cards := newModel(t)
 	for i := range 100 {
 		w.site.Store.Set(fmt.Sprint("servers/later-", i), site.Record{Service: "another", Addr: "127.0.0.1:1"})
 	}
-	w.knows(cards...)
+	w.waitForLayers(cards...)
 	w.site.Store.Break(func(r *http.Request) site.Fault {
 		return site.Fault{Silent: strings.HasPrefix(r.URL.Path, "/-/kv-range") && r.URL.Query().Get("after_rev") != ""}
 	})
 	second := w.start("gateway-2")
 	w.target = w.serve(second)
-	w.eventually(func() bool { return w.do(w.plan("/plan/1", 3)).body == whole(3) })
-	require.False(t, second.Ready(), "others that have read all are better")
+	w.eventually(func() bool { return w.do(w.streamRequest("/plan/1", 3)).body == fullBody(3) })
+	require.False(t, second.Ready(), "gateways that have read everything are preferred")
 	r := w.request("POST", "/renew/", "x")
-	notRun(t, w.do(r), r.Header.Get("X-Request-Id"), cards...)
+	requireNotRun(t, w.do(r), r.Header.Get("X-Request-Id"), cards...)
 	w.site.Store.Break(nil)
 	w.eventually(second.Ready)
 }
 
-// A configuration never goes back.
+// An older configuration never replaces a newer one.
 func TestOlderConfigurationIsIgnored(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, plain("a"))
+	w := newFixture(t, plain("a"))
 	former := w.site.Store.Value("op/config")
 	w.configure(false)
 	w.eventually(func() bool { return w.do(w.request("POST", "/renew/", "x")).StatusCode == http.StatusUnauthorized })
 	w.site.Store.SetText("op/config", []byte(former))
 	w.site.Store.Set("servers/marker", site.Record{Service: records, Addr: "127.0.0.1:1"})
-	w.logged(`"endpoint":"marker"`)
+	w.waitForLog(`"endpoint":"marker"`)
 	require.Equal(t, http.StatusUnauthorized, w.do(w.request("POST", "/renew/", "x")).StatusCode)
 }
 
-// A store that forgets its history is read anew, and what happened meanwhile is
-// seen.
-func TestForgottenHistory(t *testing.T) {
+// When the store has compacted its history, the gateway reads it again and sees what changed meanwhile.
+func TestCompactedStoreIsReadAgain(t *testing.T) {
 	t.Parallel()
 	a, b := plain("a"), plain("b")
-	w := newWorld(t, a, b)
+	w := newFixture(t, a, b)
 	w.site.Store.Break(func(r *http.Request) site.Fault {
 		if strings.HasPrefix(r.URL.Path, "/-/kv-watch") {
 			return site.Fault{Status: http.StatusServiceUnavailable}
 		}
 		return site.Fault{}
 	})
-	w.logged("the store does not answer")
+	w.waitForLog("the store does not answer")
 	w.site.Withdraw(a)
 	w.site.Store.Compact()
 	w.site.Store.Break(nil)
-	w.logged("the store forgot its history")
-	w.logged(`"endpoint":"a","message":"endpoint gone"`)
+	w.waitForLog("the store forgot its history")
+	w.waitForLog(`"endpoint":"a","message":"endpoint gone"`)
 	before := len(a.Seen())
 	require.Equal(t, http.StatusOK, w.do(w.request("POST", "/renew/", "x")).StatusCode)
 	require.Len(t, a.Seen(), before)
 }
 
-// Without a configuration nothing is rejected: another gateway may know better.
+// A gateway without a configuration rejects nothing as unknown: another gateway may know the route.
 func TestNothingIsRejectedWithoutAConfiguration(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, plain("a"))
+	w := newFixture(t, plain("a"))
 	w.site.Store.Break(func(*http.Request) site.Fault { return site.Fault{Silent: true} })
 	other := w.start("gateway-2")
 	require.False(t, other.Ready())
@@ -278,8 +276,8 @@
 	require.NotEmpty(t, answer.Header.Get("Retry-After"))
 }
 
-// One gateway gives orders at a time; when it ends, another goes on.
-func TestAnotherGatewayTakesOverTheOrders(t *testing.T) {
+// One gateway is the leader, which orders layers, at a time; when it ends, another takes over.
+func TestAnotherGatewayTakesOverAsLeader(t *testing.T) {
 	t.Parallel()
 	w, cards := newModel(t)
 	second := w.start("gateway-2")
@@ -293,56 +291,57 @@
 	require.True(t, covered(cards, 1))
 }
 
-// What one gateway learns of a dead endpoint, another knows without asking.
-func TestGatewaysTellEachOtherOfStalls(t *testing.T) {
+// A gateway knows of a dead endpoint from another gateway's report, without checking it.
+func TestGatewaysReportStallsToEachOther(t *testing.T) {
 	t.Parallel()
 	w, cards := newModel(t)
 	second := w.start("gateway-2")
 	w.eventually(second.Ready)
 	w.eventually(func() bool { return len(w.site.Store.Keys("grademill/gateways/")) == 2 })
-	answer, _, later := w.mid(cards, 200)
+	answer, _, later := w.startStream(cards, 200)
 	later[0].Kill()
-	w.logged("endpoint holds requests up")
-	w.rest(answer)
+	w.waitForLog("endpoint holds requests up")
+	w.readRest(answer)
 	w.target = w.serve(second)
 	w.eventually(func() bool {
-		r := w.plan("/plan/1", 3)
-		if w.do(r).body != whole(3) {
+		r := w.streamRequest("/plan/1", 3)
+		if w.do(r).body != fullBody(3) {
 			return false
 		}
-		return !strings.Contains(usesOf(t, w, r.Header.Get("X-Request-Id")), later[0].Address())
+		return !strings.Contains(endLine(t, w, r.Header.Get("X-Request-Id")), later[0].Address())
 	})
 }
 
-// phased passes questions for changes on to a store, one of them after a delay, and notes when
-// they come.
-type phased struct {
+// delayingStore forwards watch calls to a store, the next one after a delay, and records when they arrive.
+type delayingStore struct {
 	store *site.Store
-	// delay is that of the next question, in nanoseconds.
+	// delay is that of the next watch call, in nanoseconds.
 	delay atomic.Int64
-	// asked is when the last one came, in nanoseconds of Unix time.
-	asked atomic.Int64
+	// queriedAt is when the last one arrived, in nanoseconds of Unix time.
+	queriedAt atomic.Int64
 }
 
-func (p *phased) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *delayingStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.HasSuffix(r.URL.Path, "-watch") {
 		time.Sleep(time.Duration(p.delay.Swap(0)))
-		p.asked.Store(time.Now().UnixNano())
+		p.queriedAt.Store(time.Now().UnixNano())
 	}
 	p.store.ServeHTTP(w, r)
 }
 
-// since returns how long ago the last question came.
-func (p *phased) since() time.Duration { return time.Duration(time.Now().UnixNano() - p.asked.Load()) }
+// sinceQuery returns the time since the last watch call.
+func (p *delayingStore) sinceQuery() time.Duration {
+	return time.Duration(time.Now().UnixNano() - p.queriedAt.Load())
+}
 
-// Gateways that lose the store together notice it one after the other: the question of one may
-// have been sent a second before that of another. Until the other's comes back it looks as if it
-// had the store, by a proof from before the loss. The first one then sent its callers away for as
+// Gateways that lose the store together notice it one after the other: the watch call of one may have been
+// sent a second before that of another. Until the other's call returns, that gateway seems to have the
+// store, by a freshness proof from before the loss. The first gateway used to send its callers away for as
 // long.
 func TestCallersStayWhenGatewaysLoseTheStoreOutOfStep(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, plain("a"))
-	stores := []*phased{{store: w.site.Store}, {store: w.site.Store}}
+	w := newFixture(t, plain("a"))
+	stores := []*delayingStore{{store: w.site.Store}, {store: w.site.Store}}
 	all := []*gateway.Gateway{w.gateway}
 	for i, s := range stores {
 		server := httptest.NewServer(s)
@@ -351,55 +350,54 @@
 		w.eventually(all[i+1].Ready)
 	}
 	w.eventually(func() bool { return len(w.site.Store.Keys("grademill/gateways/")) == len(all) })
-	w.eventually(func() bool { // until the announcements are known the questions go in step
+	w.eventually(func() bool { // until the announcements are known, the watch calls stay in step
 		stores[1].delay.Store(int64(700 * time.Millisecond))
-		return stores[0].since() > 800*time.Millisecond && stores[1].since() < 150*time.Millisecond
+		return stores[0].sinceQuery() > 800*time.Millisecond && stores[1].sinceQuery() < 150*time.Millisecond
 	})
 	w.site.Store.Break(func(*http.Request) site.Fault { return site.Fault{Status: http.StatusServiceUnavailable} })
 	w.eventually(func() bool { return !all[0].Ready() && !all[1].Ready() && !all[2].Ready() })
 	require.NotContains(t, w.log.String(), `"apart":true`)
 }
 
-// A store that falls silent is known to be lost only when a question to it has waited too long,
-// and each gateway finds out by the time of its own question. The one whose proof was the oldest
-// found it late, by 2.5 s, saw the younger proofs of the others, which were from before the loss,
-// too, and sent its callers away: "apart":true with "failing":false, "proof_age_ms":2546 and a
-// "holder_proof_age_ms" below that, for as long as the proofs were apart.
+// A store that stops answering is known to be lost only when a call to it has timed out, and each gateway
+// finds out with its own call. The gateway with the oldest proof found out after 2.5 s, mistook the younger
+// proofs of the others, also from before the loss, for a sign that they had the store, and sent its callers
+// away ("apart":true with "failing":false, "proof_age_ms":2546 and a smaller "holder_proof_age_ms") for as
+// long as the difference in age of the proofs.
 func TestCallersStayWhenTheStoreFallsSilent(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, plain("a"))
-	second := &phased{store: w.site.Store}
+	w := newFixture(t, plain("a"))
+	second := &delayingStore{store: w.site.Store}
 	server := httptest.NewServer(second)
 	t.Cleanup(server.Close)
 	other := w.startAt("gateway-2", strings.TrimPrefix(server.URL, "http://"))
 	w.eventually(other.Ready)
 	w.eventually(func() bool { return len(w.site.Store.Keys("grademill/gateways/")) == 2 })
-	second.delay.Store(int64(500 * time.Millisecond)) // from that question on it asks later than the other
+	second.delay.Store(int64(500 * time.Millisecond)) // from that call on, its calls are later than the other's
 	w.eventually(func() bool { return second.delay.Load() == 0 })
 	for range 2 {
-		last := second.asked.Load()
-		w.eventually(func() bool { return second.asked.Load() != last })
+		last := second.queriedAt.Load()
+		w.eventually(func() bool { return second.queriedAt.Load() != last })
 	}
-	before := len(w.log.String()) // the delay alone may have led callers away from the second gateway
+	before := len(w.log.String()) // the delay alone may have made the second gateway send callers away
 	w.site.Store.Break(func(*http.Request) site.Fault { return site.Fault{Silent: true} })
 	w.eventually(func() bool { return !w.gateway.Ready() && !other.Ready() })
 	require.NotContains(t, w.log.String()[before:], `"apart":true`)
 }
 
-// Digests may be under way for long, or lie unread while the process lacks processor time: so much
-// younger the proofs in them seem. A proof from before the loss then seemed to be from after it,
-// by more than the 30 ms that were allowed for, and the callers were sent away for 150 ms, until the
-// next digest came.
-func TestProofThatWasLongUnderWaySaysNothing(t *testing.T) {
+// Digests may be delayed on their way, or stay unread while the process is starved of processor time: the
+// proofs in them then seem younger by as much. A proof from before the loss seemed to be from after it, by
+// more than the 30 ms allowed for, and callers were sent away for 150 ms, until the next digest arrived.
+func TestDelayedProofIsNoEvidence(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, plain("a"))
-	tell := w.teller()
+	w := newFixture(t, plain("a"))
+	send := w.digestSender()
 	w.site.Store.Break(func(*http.Request) site.Fault { return site.Fault{Status: http.StatusServiceUnavailable} })
 	proven := time.Now()
 	for number := uint64(1); w.gateway.Ready(); number++ {
-		const underWay = 1200 * time.Millisecond // longer than this gateway takes to find out
+		const underWay = 1200 * time.Millisecond // longer than the gateway takes to detect the loss
 		age := max(time.Since(proven)-underWay, 0)
-		tell(&gossip.Digest{
+		send(&gossip.Digest{
 			Gateway: "other", Incarnation: 1, Number: number, Hall: "north", Proven: true, ProofAgeMillis: uint32(age.Milliseconds()),
 		})
 		time.Sleep(20 * time.Millisecond)
@@ -407,9 +405,9 @@
 	require.NotContains(t, w.log.String(), `"apart":true`)
 }
 
-// teller returns what sends the gateway of the world digests of others. What comes before the
-// gateway listens is lost.
-func (w *world) teller() func(*gossip.Digest) {
+// digestSender returns a function that sends digests of other gateways to the gateway of the fixture.
+// Digests are lost until that gateway listens.
+func (w *fixture) digestSender() func(*gossip.Digest) {
 	socket, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	require.NoError(w.t, err)
 	w.t.Cleanup(func() { _ = socket.Close() })
@@ -423,19 +421,19 @@
 	}
 }
 
-// When many gateways lose the store together, each hears of all the others: it asks the store
-// once at once for that, and not once for each, which the store would have to turn away.
-func TestManyLossesHurryOneQuestion(t *testing.T) {
+// When many gateways lose the store together, each hears of all the others. It sends the store one
+// additional query for that, not one for each, which the store would have to refuse.
+func TestManyOutagesCauseOneQuery(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, plain("a"))
-	tell := w.teller()
+	w := newFixture(t, plain("a"))
+	send := w.digestSender()
 	const others = 60
 	before := w.site.Store.Calls("/-/kv-watch")
 	for i := range others {
-		tell(&gossip.Digest{
+		send(&gossip.Digest{
 			Gateway: fmt.Sprint("other-", i), Incarnation: 1, Number: 1, Hall: "north", Cut: true, Outage: uint64(i + 1),
 		})
 		time.Sleep(10 * time.Millisecond)
 	}
-	require.LessOrEqual(t, w.site.Store.Calls("/-/kv-watch")-before, 6, "one at once, and those that are due")
+	require.LessOrEqual(t, w.site.Store.Calls("/-/kv-watch")-before, 6, "one additional query, and those that are due")
 }
--- a/role/gateway/world_test.go
+++ b/role/gateway/world_test.go
@@ -22,10 +22,10 @@
 	"github.com/grademill/grademill/standin/site"
 )
 
-// patience bounds every wait: a test that reaches it has failed.
-const patience = 30 * time.Second
+// testTimeout limits every wait: a test that reaches it has failed.
+const testTimeout = 30 * time.Second
 
-// The names of the configuration of the tests.
+// Names in the configuration of the tests.
 const (
 	host    = "club.example"
 	key     = "key-of-desk"
@@ -34,19 +34,19 @@
 	model   = "assistant"
 )
 
-// world is a site with a gateway before it.
-type world struct {
+// fixture is a simulated site with a gateway in front of it.
+type fixture struct {
 	t       *testing.T
 	site    *site.Site
 	gateway *gateway.Gateway
-	// target is the address of the gateway that requests go to.
+	// target is the URL of the gateway that receives the requests.
 	target  string
 	log     *syncBuffer
 	version int
 	ids     atomic.Int64
 }
 
-// syncBuffer collects the log, each line with the time at which it came.
+// syncBuffer collects the log and prefixes each line with its time.
 type syncBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -66,17 +66,17 @@
 	return b.text.String()
 }
 
-// newWorld starts a site with the endpoints and a gateway that knows them.
-func newWorld(t *testing.T, endpoints ...*site.Endpoint) *world {
-	return newWorldWith(t, func(*gateway.Gateway) {}, endpoints...)
+// newFixture starts a site with the endpoints and a gateway that knows them.
+func newFixture(t *testing.T, endpoints ...*site.Endpoint) *fixture {
+	return newFixtureWith(t, func(*gateway.Gateway) {}, endpoints...)
 }
 
-// newWorldWith starts a world whose gateway is changed before.
-func newWorldWith(t *testing.T, change func(*gateway.Gateway), endpoints ...*site.Endpoint) *world {
+// newFixtureWith starts a fixture and applies change to its gateway before it runs.
+func newFixtureWith(t *testing.T, change func(*gateway.Gateway), endpoints ...*site.Endpoint) *fixture {
 	s, err := site.New(layers)
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
-	w := &world{t: t, site: s, log: new(syncBuffer)}
+	w := &fixture{t: t, site: s, log: new(syncBuffer)}
 	for _, e := range endpoints {
 		require.NoError(t, s.Start(e))
 	}
@@ -93,17 +93,17 @@
 }
 
 // start runs a gateway.
-func (w *world) start(name string) *gateway.Gateway {
+func (w *fixture) start(name string) *gateway.Gateway {
 	return w.startAt(name, w.site.StoreAddress)
 }
 
 // startAt runs a gateway that reaches the store at an address.
-func (w *world) startAt(name, store string) *gateway.Gateway {
+func (w *fixture) startAt(name, store string) *gateway.Gateway {
 	return w.startWith(name, store, func(*gateway.Gateway) {})
 }
 
-// startWith runs a gateway that is changed before.
-func (w *world) startWith(name, store string, change func(*gateway.Gateway)) *gateway.Gateway {
+// startWith runs a gateway after applying change to it.
+func (w *fixture) startWith(name, store string, change func(*gateway.Gateway)) *gateway.Gateway {
 	metrics := meter.NewGateway()
 	g := &gateway.Gateway{
 		Name: name, Hall: "north", Address: freePort(w.t),
@@ -130,14 +130,14 @@
 	return g
 }
 
-// serve serves a gateway over HTTP and returns its address.
-func (w *world) serve(g *gateway.Gateway) string {
+// serve serves a gateway over HTTP and returns its URL.
+func (w *fixture) serve(g *gateway.Gateway) string {
 	server := httptest.NewServer(g)
 	w.t.Cleanup(server.Close)
 	return server.URL
 }
 
-// freePort returns a local address that is free for datagrams and for connections.
+// freePort returns a local address that is free for both UDP and TCP.
 func freePort(t *testing.T) string {
 	for range 100 {
 		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -150,13 +150,12 @@
 			return address
 		}
 	}
-	require.Fail(t, "no port is free for datagrams and for connections")
+	require.Fail(t, "no port is free for both UDP and TCP")
 	return ""
 }
 
-// configure writes the next version of the configuration, with or without the
-// key of the team.
-func (w *world) configure(withKey bool) {
+// configure writes the next version of the configuration, with or without the team's key.
+func (w *fixture) configure(withKey bool) {
 	w.version += 3
 	keys := []string{"another-key"}
 	if withKey {
@@ -200,20 +199,20 @@
 	})
 }
 
-// eventually waits for a condition.
-func (w *world) eventually(ok func() bool) {
+// eventually waits until a condition holds.
+func (w *fixture) eventually(ok func() bool) {
 	w.t.Helper()
-	require.Eventually(w.t, ok, patience, 2*time.Millisecond)
+	require.Eventually(w.t, ok, testTimeout, 2*time.Millisecond)
 }
 
-// logged waits for a line of the log that holds a text.
-func (w *world) logged(text string) {
+// waitForLog waits until the log contains a text.
+func (w *fixture) waitForLog(text string) {
 	w.t.Helper()
 	w.eventually(func() bool { return bytes.Contains([]byte(w.log.String()), []byte(text)) })
 }
 
-// request makes a request of the team with an ID of its own.
-func (w *world) request(method, path, body string) *http.Request {
+// request creates a request of the team with a unique ID.
+func (w *fixture) request(method, path, body string) *http.Request {
 	r, err := http.NewRequest(method, w.target+path, bytes.NewBufferString(body))
 	require.NoError(w.t, err)
 	r.Host = host
@@ -223,16 +222,16 @@
 	return r
 }
 
-// reply is a whole answer.
+// reply is an answer that has been read to its end.
 type reply struct {
 	*http.Response
 	body string
-	// cut is set when the answer broke off.
+	// cut is set if the answer broke off.
 	cut bool
 }
 
 // do sends a request and reads the answer.
-func (w *world) do(r *http.Request) reply {
+func (w *fixture) do(r *http.Request) reply {
 	w.t.Helper()
 	answer, err := http.DefaultClient.Do(r)
 	require.NoError(w.t, err)
@@ -241,14 +240,14 @@
 	return reply{answer, string(body), err != nil}
 }
 
-// plain is an endpoint of the plain service.
+// plain returns an endpoint of the plain service.
 func plain(id string) *site.Endpoint {
 	return &site.Endpoint{ID: id, Service: records, Hall: "north"}
 }
 
-// notRun checks that an answer says that the request has not run and when to come
-// back, and that this is true.
-func notRun(t *testing.T, r reply, id string, endpoints ...*site.Endpoint) {
+// requireNotRun checks that an answer says that the request has not run and when to retry, and that no
+// endpoint has run it.
+func requireNotRun(t *testing.T, r reply, id string, endpoints ...*site.Endpoint) {
 	t.Helper()
 	require.Equal(t, http.StatusServiceUnavailable, r.StatusCode)
 	require.NotEmpty(t, r.Header.Get("Retry-After"))
