--- a/role/gateway/quarantine_test.go
+++ b/role/gateway/quarantine_test.go
@@ -55,8 +55,8 @@
 	for i := range f.size() {
 		f.endpoints = append(f.endpoints, f.newEndpoint(fmt.Sprint("endpoint-", i)))
 	}
-	crowd := newFleetInHalls(t, slices.Repeat([]string{"north"}, gateways), f.endpoints...)
-	f.fixture, f.targets = crowd.fixture, crowd.targets
+	inHalls := newFleetInHalls(t, slices.Repeat([]string{"north"}, gateways), f.endpoints...)
+	f.fixture, f.targets = inHalls.fixture, inHalls.targets
 	f.site.Doom(poison)
 	return f
 }
--- a/role/quarantine/quarantine.go
+++ b/role/quarantine/quarantine.go
@@ -44,7 +44,7 @@
 	// also in a large fleet.
 	reportLifetime = 3 * time.Second
 	// minRemaining is the shortest remaining time with which a reported quarantine is adopted. Each
-	// digest adds its transmission time to the rest, so without this bound a quarantine would never end.
+	// digest prolongs it by its transmission time, so without this bound a quarantine would never end.
 	minRemaining = time.Second
 	// maxReported limits the requests in a digest, some 20 bytes each.
 	maxReported = 64
@@ -238,8 +238,8 @@
 
 // enough reports whether ends show that the request causes them.
 func enough(ends []suspects.End) bool {
-	tried := slices.ContainsFunc(ends, func(e suspects.End) bool { return e.Tried })
-	return len(ends) >= minEndsUnisolated || tried && len(ends) >= minEnds
+	isolated := slices.ContainsFunc(ends, func(e suspects.End) bool { return e.Tried })
+	return len(ends) >= minEndsUnisolated || isolated && len(ends) >= minEnds
 }
 
 // evaluate quarantines a request when enough incarnations have certainly ended under it. A report by a
--- a/role/quarantine/quarantine_test.go
+++ b/role/quarantine/quarantine_test.go
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	n := &node{f: f, cancel: cancel, begun: time.Now()}
 	n.Quarantine = &quarantine.Quarantine{
-		Self: name(index), Keepers: f.keepers(index), Tell: n.tell, News: func() {}, Over: f.over, Store: f,
+		Self: name(index), Keepers: f.keepers(index), Tell: n.sendEnds, News: func() {}, Over: f.over, Store: f,
 		Count: func(string) {}, Log: zerolog.Nop(),
 	}
 	n.Init()
@@ -135,8 +135,8 @@
 	return slices.DeleteFunc(slices.Clone(f.nodes), func(o *node) bool { return o == nil || o == n })
 }
 
-// tell sends a datagram.
-func (n *node) tell(e *wire.Ends, to ...overlay.Member) {
+// sendEnds sends a datagram, which may be lost, to gateways.
+func (n *node) sendEnds(e *wire.Ends, to ...overlay.Member) {
 	for _, m := range to {
 		if n.f.lost() {
 			continue
@@ -222,13 +222,13 @@
 func (f *fleet) send(index, most int, request fingerprint.Fingerprint) (sends int) {
 	n := f.nodes[index]
 	for ; sends < most && n.Left(request, time.Now()) == 0; sends++ {
-		tried := n.Suspected(request, time.Now())
+		isolated := n.Suspected(request, time.Now())
 		f.mu.Lock()
 		incarnation := suspects.Life{Endpoint: fmt.Sprint("endpoint-", len(f.ended)%33), Born: int64(len(f.ended) / 33)}
 		f.ended[incarnation] = time.Now()
 		f.mu.Unlock()
 		time.Sleep(time.Duration(20+f.intN(100)) * time.Millisecond)
-		n.Report(incarnation, []suspects.Begun{{Print: request, Tried: tried}}, time.Now())
+		n.Report(incarnation, []suspects.Begun{{Print: request, Tried: isolated}}, time.Now())
 	}
 	return sends
 }
@@ -289,7 +289,8 @@
 	}
 }
 
-// The previous test fails as it should if no report arrives and the store does not answer.
+// Without any reports and without the store, a request ends more endpoints: the schedules of the previous
+// test can tell the difference.
 func TestRequestSpreadsWithoutReports(t *testing.T) {
 	t.Parallel()
 	require.Greater(t, runSchedule(t, 5, 1, 1, true), 3)
@@ -323,7 +324,7 @@
 		defer f.group.Wait()
 		defer cancel()
 		for i := range 6 {
-			f.nodes[0].tell(&wire.Ends{Gateway: name(0), Endpoint: fmt.Sprint("alive-", i), Prints: []uint64{uint64(poison)}},
+			f.nodes[0].sendEnds(&wire.Ends{Gateway: name(0), Endpoint: fmt.Sprint("alive-", i), Prints: []uint64{uint64(poison)}},
 				f.keepers(0)("key")...)
 		}
 		time.Sleep(10 * time.Second)
