--- a/adapter/ingress/conn.go
+++ b/adapter/ingress/conn.go
@@ -9,112 +9,113 @@
 	"github.com/grademill/grademill/adapter/peek"
 )
 
-// The states of a connection.
+// The states of a connection: idle between requests, serving a request, or closed by the
+// server.
 const (
-	resting int32 = iota
+	idle int32 = iota
 	serving
 	closed
 )
 
-// readTime is how long the head of a request that has begun to come counts as about to be
-// served: one that takes longer comes slowly.
-const readTime = time.Second
+// headReadGrace is how long a connection counts as busy after the first byte of a request
+// head. A caller that needs longer is sending slowly.
+const headReadGrace = time.Second
 
-// conn is a connection of a caller. It is only closed while it rests, and serves
-// only what came before it was closed.
+// conn is a caller's connection. The server closes it only while it is idle, and serves a
+// request only if it arrived before the close.
 type conn struct {
 	net.Conn
 	state atomic.Int32
-	// since is when it began to rest, begun when the first byte of the next head
-	// came, 0 before; both in nanoseconds of Unix time.
-	since, begun atomic.Int64
-	// head is what was read since it began to rest: the head of the next request,
-	// and what came with it. Only the goroutine that serves the connection uses
-	// it.
+	// idleSince is when the connection became idle. headStarted is when the first byte of the
+	// next request head arrived, 0 before that. Both are Unix times in nanoseconds.
+	idleSince, headStarted atomic.Int64
+	// head holds the bytes read since the connection became idle: the next request's head and
+	// possibly the start of its body. Only the goroutine that serves the connection uses it.
 	head []byte
 }
 
-// Read reads and keeps what may be the head of a request.
+// Read reads from the connection. While the connection is idle it also records the bytes,
+// which belong to the next request's head.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if n == 0 || c.state.Load() != resting {
+	if n == 0 || c.state.Load() != idle {
 		return n, err
 	}
-	c.begun.CompareAndSwap(0, time.Now().UnixNano())
+	c.headStarted.CompareAndSwap(0, time.Now().UnixNano())
 	if len(c.head) < headBytes {
 		c.head = append(c.head, b[:n]...)
 	}
 	return n, err
 }
 
-// rest marks the connection as resting.
-func (c *conn) rest() {
+// markIdle resets the recorded head and marks the connection as idle.
+func (c *conn) markIdle() {
 	c.head = c.head[:0]
-	c.begun.Store(0)
-	c.since.Store(time.Now().UnixNano())
-	c.state.Store(resting)
+	c.headStarted.Store(0)
+	c.idleSince.Store(time.Now().UnixNano())
+	c.state.Store(idle)
 }
 
-// unread reports whether the caller has sent something that has not been read yet at now, or
-// whose reading has just begun: a process that lacks processor time takes a second for that.
-func (c *conn) unread(now time.Time) bool {
-	if begun := c.begun.Load(); begun != 0 && now.UnixNano()-begun < int64(readTime) {
+// hasUnreadInput reports whether the caller has sent bytes that are not yet read, or whose
+// reading began less than headReadGrace before now. A process starved of processor time can
+// take a second to read them.
+func (c *conn) hasUnreadInput(now time.Time) bool {
+	if headStarted := c.headStarted.Load(); headStarted != 0 && now.UnixNano()-headStarted < int64(headReadGrace) {
 		return true
 	}
 	waits, err := peek.Pending(c.Conn)
 	return err == nil && waits
 }
 
-// closeResting closes the connection if it rests and nothing of a request has come. One whose
-// request lies unread ends with its answer instead.
-func (c *conn) closeResting(now time.Time) {
-	if c.unread(now) {
+// closeIfNoInput closes the connection if it is idle and no part of a request has arrived. A
+// connection with an unread request closes after the response to that request instead.
+func (c *conn) closeIfNoInput(now time.Time) {
+	if c.hasUnreadInput(now) {
 		return
 	}
-	c.end()
+	c.closeIfIdle()
 }
 
-// end closes the connection unless a request is being served.
-func (c *conn) end() {
-	if c.state.CompareAndSwap(resting, closed) {
-		_ = c.Close() // the caller sees the end either way
+// closeIfIdle closes the connection unless it is serving a request.
+func (c *conn) closeIfIdle() {
+	if c.state.CompareAndSwap(idle, closed) {
+		_ = c.Close() // an error changes nothing for the caller
 	}
 }
 
-// overdue reports whether the connection has rested, or has been in the middle of a
-// head, for longer than it may at now.
+// overdue reports whether the connection has exceeded the idle limit, or the limit on reading
+// a request head, at now.
 func (c *conn) overdue(l Limits, now time.Time) bool {
-	if begun := c.begun.Load(); begun != 0 {
-		return l.HeadWait > 0 && now.UnixNano()-begun > int64(l.HeadWait)
+	if headStarted := c.headStarted.Load(); headStarted != 0 {
+		return l.HeadWait > 0 && now.UnixNano()-headStarted > int64(l.HeadWait)
 	}
-	return l.Idle > 0 && now.UnixNano()-c.since.Load() > int64(l.Idle)
+	return l.Idle > 0 && now.UnixNano()-c.idleSince.Load() > int64(l.Idle)
 }
 
-// headSize returns the size of the head that was read, with what came with it when
-// its end is not there.
+// headSize returns the size in bytes of the recorded request head, or of all recorded bytes if
+// the head is incomplete.
 func (c *conn) headSize() int {
 	head, _, _ := bytes.Cut(c.head, []byte("\r\n\r\n"))
 	return len(head)
 }
 
-// ambiguous reports whether the head of a request in chunks names a length, too,
-// so that two readers may see its end in different places; the HTTP server passes
-// over the length. A head that was not kept as a whole counts as ambiguous.
-func (c *conn) ambiguous() bool {
+// ambiguousLength reports whether the head of a chunked request also has a Content-Length, so
+// that two HTTP parsers may disagree on where the request ends; net/http ignores the length. A
+// head that was not recorded completely counts as ambiguousLength.
+func (c *conn) ambiguousLength() bool {
 	head, _, whole := bytes.Cut(c.head, []byte("\r\n\r\n"))
 	return !whole || bytes.Contains(bytes.ToLower(head), []byte("\ncontent-length"))
 }
 
-// listener makes conns.
+// listener wraps accepted connections in conns.
 type listener struct{ net.Listener }
 
-// Accept waits for the next connection.
 func (l listener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	c := &conn{Conn: raw}
-	c.rest()
+	c.markIdle()
 	return c, nil
 }
--- a/adapter/ingress/server.go
+++ b/adapter/ingress/server.go
@@ -1,6 +1,9 @@
-// Package ingress serves callers over HTTP/1.1 and ends their connections
-// without losing a request: one that rests is closed only while no request is
-// being read from it.
+// Package ingress is the HTTP/1.1 server for callers; it closes their connections without
+// losing a request. It closes an idle connection only if no part of a request has arrived on
+// it.
+//
+// Set the exported fields of a Server, then call Listen and Run. To shut down, call Retire,
+// wait until Quiet reports true, and call Stop.
 package ingress
 
 import (
@@ -18,46 +21,47 @@
 	"github.com/grademill/grademill/adapter/peek"
 )
 
-// The bounds of the head of a request whatever the limits in force say.
+// Fixed limits on the head of a request; Limits can only be stricter.
 const (
 	headBytes = 64 << 10
 	headWait  = 30 * time.Second
 )
 
-// Limits bound what callers may do. A zero field is no bound.
+// Limits are the limits on callers' connections. A zero field means no limit.
 type Limits struct {
-	// Idle is how long a connection may rest between requests.
+	// Idle is the maximum time that a connection may be idle between requests.
 	Idle time.Duration
-	// HeadBytes is the size of the head of a request, HeadWait how long it may take.
+	// HeadBytes is the maximum size of a request head, HeadWait the maximum time to read it.
 	HeadBytes int
 	HeadWait  time.Duration
 }
 
-// sweepEvery is how often resting connections are looked through.
-const sweepEvery = 500 * time.Millisecond
+// sweepInterval is the interval between checks for overdue connections.
+const sweepInterval = 500 * time.Millisecond
 
-// Server is one server. Set the exported fields before Listen.
+// Server serves callers on one address. Set the exported fields before Listen.
 type Server struct {
 	Address string
 	Handler http.Handler
-	// Limits returns those in force; nil for none.
+	// Limits returns the limits in force; nil for no limits.
 	Limits func() Limits
-	// ErrorLog takes the lines of the HTTP server.
+	// ErrorLog receives the log output of net/http.
 	ErrorLog *log.Logger
 
 	listener net.Listener
 	stopping atomic.Bool
 	mu       sync.Mutex
-	// conns are the open connections; guarded by mu.
+	// conns holds the open connections; guarded by mu.
 	conns map[*conn]bool
 }
 
-// connKey is the key of a connection in a request's context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// Left reports whether the caller of the request with a context has closed its connection. The
-// context of a request ends with that, too, but not before the process has had time to read the
-// end; a request that had lain unread may have none left to serve it for.
+// Left reports whether the caller of the request with the given context has closed its
+// connection. The request's context is also cancelled then, but only once the process has had
+// time to read the end of the stream; a request that was left unread for long may no longer
+// have a caller.
 func Left(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	if !ok {
@@ -67,8 +71,8 @@
 	return err != nil
 }
 
-// Listen begins to listen and serves in the background. A failure of the server
-// is sent to failed.
+// Listen opens the listener and serves in the background. It sends a later server failure to
+// failed.
 func (s *Server) Listen(failed chan<- error) error {
 	raw, err := net.Listen("tcp", s.Address)
 	if err != nil {
@@ -78,7 +82,7 @@
 	s.conns = make(map[*conn]bool)
 	server := &http.Server{
 		Handler: http.HandlerFunc(s.serve), MaxHeaderBytes: headBytes, ReadHeaderTimeout: headWait,
-		ErrorLog: s.ErrorLog, DisableGeneralOptionsHandler: true, ConnContext: s.connected, ConnState: s.changed,
+		ErrorLog: s.ErrorLog, DisableGeneralOptionsHandler: true, ConnContext: s.connected, ConnState: s.stateChanged,
 	}
 	go func() {
 		if err := server.Serve(s.listener); !errors.Is(err, net.ErrClosed) {
@@ -88,7 +92,7 @@
 	return nil
 }
 
-// connected notes a new connection.
+// connected registers a new connection; it is the server's ConnContext hook.
 func (s *Server) connected(ctx context.Context, raw net.Conn) context.Context {
 	c, ok := raw.(*conn)
 	if !ok {
@@ -100,9 +104,10 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// changed forgets a connection that is closed, and closes one that comes to rest
-// while the server stops: its answer may have begun too early to say so.
-func (s *Server) changed(raw net.Conn, state http.ConnState) {
+// stateChanged is the server's ConnState hook: it removes closed connections, and closes one
+// that becomes idle while the server is stopping, since its response may have started too
+// early to carry Connection: close.
+func (s *Server) stateChanged(raw net.Conn, state http.ConnState) {
 	c, ok := raw.(*conn)
 	if !ok {
 		return
@@ -114,28 +119,28 @@
 		delete(s.conns, c)
 	case http.StateIdle:
 		if s.stopping.Load() {
-			c.closeResting(time.Now())
+			c.closeIfNoInput(time.Now())
 		}
 	}
 }
 
-// serve serves a request, unless its connection was closed before it had been
-// read: then nothing of it is passed on.
+// serve handles one request. If the connection was closed before the request was read, serve
+// aborts it without calling the handler.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	c, ok := r.Context().Value(connKey{}).(*conn)
-	if !ok || !c.state.CompareAndSwap(resting, serving) {
+	if !ok || !c.state.CompareAndSwap(idle, serving) {
 		panic(http.ErrAbortHandler)
 	}
-	defer c.rest()
+	defer c.markIdle()
 	if s.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	if most := s.limits().HeadBytes; most > 0 && c.headSize() > most {
+	if maxHead := s.limits().HeadBytes; maxHead > 0 && c.headSize() > maxHead {
 		w.Header().Set("Connection", "close")
 		http.Error(w, "the head of the request is too long", http.StatusRequestHeaderFieldsTooLarge)
 		return
 	}
-	if len(r.TransferEncoding) > 0 && c.ambiguous() {
+	if len(r.TransferEncoding) > 0 && c.ambiguousLength() {
 		w.Header().Set("Connection", "close")
 		http.Error(w, "the request has a length beside its chunks", http.StatusBadRequest)
 		return
@@ -143,10 +148,9 @@
 	s.Handler.ServeHTTP(w, r)
 }
 
-// Run closes connections that rest longer than they may, or take too long over a
-// head, until ctx ends.
+// Run closes connections that exceed the limits until ctx ends.
 func (s *Server) Run(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -158,53 +162,51 @@
 	}
 }
 
-// Retire ends each connection with its next answer.
+// Retire makes each connection close after its next response.
 func (s *Server) Retire() {
 	s.stopping.Store(true)
 }
 
-// Quiet reports whether no request is being served, or lies unread, at any connection.
+// Quiet reports whether no connection is serving a request or has an unread one.
 func (s *Server) Quiet() bool {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if state := c.state.Load(); state == serving || state == resting && c.unread(now) {
+		if state := c.state.Load(); state == serving || state == idle && c.hasUnreadInput(now) {
 			return false
 		}
 	}
 	return true
 }
 
-// Stop takes no more connections and closes those that rest.
+// Stop closes the listener and the idle connections.
 func (s *Server) Stop() {
 	s.stopping.Store(true)
-	_ = s.listener.Close() // only a second call fails
+	_ = s.listener.Close() // fails only if Stop is called twice
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.closeResting(now)
+		c.closeIfNoInput(now)
 	}
 }
 
-// sweep closes the connections that rest longer than they may at now, and those whose head
-// takes too long.
+// sweep closes the connections that exceed limits at now.
 func (s *Server) sweep(limits Limits, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		switch {
 		case !c.overdue(limits, now):
-		case c.begun.Load() != 0:
-			c.end()
+		case c.headStarted.Load() != 0:
+			c.closeIfIdle()
 		default:
-			c.closeResting(now)
+			c.closeIfNoInput(now)
 		}
 	}
 }
 
-// limits returns the limits in force.
 func (s *Server) limits() Limits {
 	if s.Limits == nil {
 		return Limits{}
--- a/adapter/ingress/server_test.go
+++ b/adapter/ingress/server_test.go
@@ -19,10 +19,10 @@
 	"github.com/grademill/grademill/adapter/ingress"
 )
 
-// patience bounds every wait: a test that reaches it has failed.
-const patience = 30 * time.Second
+// waitTimeout bounds every wait: a test that reaches it has failed.
+const waitTimeout = 30 * time.Second
 
-// start serves handler and returns the server with its address.
+// start starts a server for handler and stops it when the test ends.
 func start(t *testing.T, handler http.Handler, limits ingress.Limits) *ingress.Server {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -41,12 +41,12 @@
 	return s
 }
 
-// dial opens a connection with a bound on all reads.
+// dial opens a connection whose reads fail after waitTimeout.
 func dial(t *testing.T, s *ingress.Server) (net.Conn, *bufio.Reader) {
 	c, err := net.Dial("tcp", s.Address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(patience)))
+	require.NoError(t, c.SetReadDeadline(time.Now().Add(waitTimeout)))
 	return c, bufio.NewReader(c)
 }
 
@@ -62,9 +62,8 @@
 	return answer
 }
 
-// A stop closes the connection that rests, and not the one whose request is
-// being served.
-func TestStopClosesOnlyWhatRests(t *testing.T) {
+// Stop closes an idle connection, but not one whose request is being served.
+func TestStopClosesOnlyIdleConnections(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
 	s := start(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		entered <- struct{}{}
@@ -87,10 +86,11 @@
 	require.Equal(t, "whole", string(body))
 }
 
-// A process that lacks processor time has not read a request yet that came 0.7 s before: it closed
-// the connection as one that rests, with no answer, when it stopped. Here the process has one
-// processor, and nothing else runs between the request and the stop.
-func TestRequestThatLiesUnreadIsServedAtTheStop(t *testing.T) {
+// Guards against closing a connection as idle while a request lies unread on it. A process
+// starved of processor time had left a request unread for 0.7 s and closed its connection at
+// the stop without a response. The test runs on one processor, so that nothing reads the
+// request between its sending and the stop.
+func TestUnreadRequestIsServedAtStop(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	for range 20 {
 		s := start(t, http.NotFoundHandler(), ingress.Limits{})
@@ -105,15 +105,15 @@
 		require.True(t, answer.Close)
 		_, err = io.Copy(io.Discard, answer.Body)
 		require.NoError(t, err)
-		require.Eventually(t, s.Quiet, patience, time.Millisecond)
+		require.Eventually(t, s.Quiet, waitTimeout, time.Millisecond)
 	}
 }
 
-// A connection that rests ends with its next answer. One whose last answer is not quite
-// through yet ends with that one, as an answer begun before does: the caller has it, and a
-// request that crosses the end is not served.
-func TestRetireEndsConnectionsWithTheirAnswers(t *testing.T) {
-	told := 0
+// After Retire, an idle connection closes with its next response. If the previous response has
+// not quite finished, the connection may close after that one, as it does after a response
+// begun before Retire; a request sent at that moment is not served.
+func TestRetireClosesConnectionsAfterTheirResponses(t *testing.T) {
+	announced := 0
 	for range 20 {
 		var served atomic.Int32
 		s := start(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -134,12 +134,12 @@
 			continue
 		}
 		require.True(t, answer.Close)
-		told++
+		announced++
 	}
-	require.Positive(t, told)
+	require.Positive(t, announced)
 }
 
-func TestRestIsBounded(t *testing.T) {
+func TestIdleTimeIsBounded(t *testing.T) {
 	s := start(t, http.NotFoundHandler(), ingress.Limits{Idle: 10 * time.Millisecond})
 	c, r := dial(t, s)
 	ask(t, c, r)
@@ -147,10 +147,9 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// An answer whose head went out before the stop cannot tell the caller that the
-// connection ends: it is closed once the answer is through, and takes no further
-// request.
-func TestConnectionEndsAfterAnAnswerBegunBefore(t *testing.T) {
+// A response whose head went out before Retire cannot announce that the connection closes. The
+// connection must close once that response is complete, and take no further request.
+func TestConnectionClosesAfterResponseBegunBeforeRetire(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
 	s := start(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = http.NewResponseController(w).Flush()
@@ -174,7 +173,7 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// A head that is longer than the limit in force is refused, and its connection ends.
+// A request head longer than the limit is refused, and its connection is closed.
 func TestLongHeadIsRefused(t *testing.T) {
 	s := start(t, http.NotFoundHandler(), ingress.Limits{HeadBytes: 200})
 	c, r := dial(t, s)
@@ -190,15 +189,15 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// A head that takes longer than the limit in force ends its connection; one that has
-// not begun does not.
+// A connection is closed if its request head takes longer than the limit, but not if no head
+// has started.
 func TestSlowHeadEndsTheConnection(t *testing.T) {
 	s := start(t, http.NotFoundHandler(), ingress.Limits{HeadWait: 10 * time.Millisecond})
-	idle, rested := dial(t, s)
+	idle, idleReader := dial(t, s)
 	slow, r := dial(t, s)
 	_, err := io.WriteString(slow, "GET / HTTP/1.1\r\nHo")
 	require.NoError(t, err)
 	_, err = r.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
-	require.Equal(t, http.StatusNotFound, ask(t, idle, rested).StatusCode)
+	require.Equal(t, http.StatusNotFound, ask(t, idle, idleReader).StatusCode)
 }
