--- a/adapter/upstream/call.go
+++ b/adapter/upstream/call.go
@@ -16,31 +16,31 @@
 	// Address is the endpoint's host and port.
 	Address string
 	Method  string
-	// Target is the path and query as they stand in the request line.
+	// Target is the request target (path and query) exactly as written in the request line.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody is set for requests that came with a body, also an empty one.
+	// HasBody is set if the original request had a body, even an empty one.
 	HasBody bool
-	// Rest is how long a connection may have rested to be used again.
+	// Rest is the maximum time that a connection may have been idle to be reused.
 	Rest time.Duration
-	// Mine reports whether an answer belongs to this request, by its headers.
-	// Others are passed over: an endpoint may answer twice.
+	// Mine reports whether a response with these headers belongs to this request. Other
+	// responses are skipped, since an endpoint may answer a request twice.
 	Mine func(http.Header) bool
-	// Wrote is called once the endpoint may have got the head of the request, when it is
-	// set.
+	// Wrote, if set, is called just before the request is written: from then on the endpoint
+	// may receive it.
 	Wrote func()
 }
 
-// SendError is a call that got no whole head of an answer.
+// SendError reports a call that failed before the complete head of its response was read.
 type SendError struct {
-	// Sent is set when a part of the request may have reached the endpoint.
+	// Sent is set if part of the request may have reached the endpoint.
 	Sent bool
 	Err  error
 }
 
-// Error returns the cause.
+// Error says whether the request was sent, and the cause.
 func (e *SendError) Error() string {
 	if e.Sent {
 		return "no answer: " + e.Err.Error()
@@ -48,36 +48,34 @@
 	return "not sent: " + e.Err.Error()
 }
 
-// Unwrap returns the cause.
 func (e *SendError) Unwrap() error {
 	return e.Err
 }
 
-// StrayAnswerError is an answer that belongs to no request.
+// StrayAnswerError reports more responses that belong to other requests than are skipped.
 type StrayAnswerError struct {
 	Status int
 }
 
-// Error returns the status.
 func (e *StrayAnswerError) Error() string {
 	return fmt.Sprintf("too many answers that belong to other requests, the last with status %d", e.Status)
 }
 
-// maxStray is the number of answers of other requests that are passed over.
+// maxStray is the maximum number of responses to other requests that are skipped.
 const maxStray = 2
 
-// inlineBody is the size up to which a body is written at once with the head.
+// inlineBody is the maximum size of a body that is sent in the same write as the head.
 const inlineBody = 16 << 10
 
-// Do sends a call and returns once the head of its answer is there. When ctx
-// ends the connection is closed. Errors are *SendError.
+// Do sends a call and returns once the head of its response has been read. It closes the
+// connection when ctx ends. Errors are *SendError.
 func (p *Pool) Do(ctx context.Context, c Call) (*Answer, error) {
-	link, err := p.take(ctx, c.Address, c.Rest)
+	connection, err := p.take(ctx, c.Address, c.Rest)
 	if err != nil {
 		return nil, &SendError{Err: err}
 	}
-	a := &Answer{pool: p, conn: link, address: c.Address}
-	a.stop = context.AfterFunc(ctx, func() { _ = link.Close() })
+	a := &Answer{pool: p, conn: connection, address: c.Address}
+	a.stop = context.AfterFunc(ctx, func() { _ = connection.Close() })
 	if c.Wrote != nil {
 		c.Wrote()
 	}
@@ -92,7 +90,7 @@
 	return a, nil
 }
 
-// cause returns why ctx ended, or err while it has not.
+// cause returns the cause of ctx's cancellation, or err if ctx has not ended.
 func cause(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
@@ -100,11 +98,12 @@
 	return err
 }
 
-// Answer is an answer whose body is still to be read.
+// Answer is a response whose body has not been read yet.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Unframed is set when only the end of the connection ends the body.
+	// Unframed is set if the body has no length and no chunks, so that only the end of the
+	// connection ends it.
 	Unframed bool
 
 	pool    *Pool
@@ -114,14 +113,14 @@
 	body    io.ReadCloser
 	// written is closed once the whole request has been written.
 	written chan struct{}
-	// keep is how long the connection may rest, 0 when it may not be used again.
-	keep time.Duration
+	// maxIdle is how long the connection may be idle before reuse, 0 if it must not be reused.
+	maxIdle time.Duration
 	// ended is set once the body has been read to its proper end.
 	ended bool
 }
 
-// write sends the head and the body. A long body is written beside the reading
-// of the answer, which may come before the body is through.
+// write sends the request. It writes a long body concurrently with reading the response, which
+// may arrive before the body is complete.
 func (a *Answer) write(c Call) error {
 	var b bytes.Buffer
 	b.Grow(1024 + min(len(c.Body), inlineBody))
@@ -147,14 +146,16 @@
 	return nil
 }
 
-// writeBody writes a long body. An error shows at the answer.
+// writeBody writes a long body. A write error is not returned: it shows when the response is
+// read.
 func (a *Answer) writeBody(body []byte) {
 	if _, err := a.conn.Write(body); err == nil {
 		close(a.written)
 	}
 }
 
-// readHead reads the head of the answer to c.
+// readHead reads the head of the response to c, skipping interim responses and those to other
+// requests.
 func (a *Answer) readHead(c Call) error {
 	request := &http.Request{Method: c.Method}
 	for stray := 0; ; {
@@ -163,7 +164,7 @@
 			return err
 		}
 		switch {
-		case response.StatusCode < http.StatusOK: // an interim answer
+		case response.StatusCode < http.StatusOK: // interim response
 			continue
 		case c.Mine == nil || c.Mine(response.Header):
 			a.accept(response, stray > 0)
@@ -178,19 +179,21 @@
 	}
 }
 
-// accept takes in the head of the answer.
-func (a *Answer) accept(r *http.Response, odd bool) {
+// accept stores the head of the response r. afterStray is set if a response to another request
+// came before it; the connection is not reused then.
+func (a *Answer) accept(r *http.Response, afterStray bool) {
 	a.Status, a.Header, a.body = r.StatusCode, r.Header, r.Body
 	a.Unframed = r.ContentLength < 0 && len(r.TransferEncoding) == 0
-	if !odd && !r.Close && !a.Unframed {
-		a.keep = rest(r.Header)
+	if !afterStray && !r.Close && !a.Unframed {
+		a.maxIdle = keepAliveTimeout(r.Header)
 	}
 	r.Header.Del("Connection")
 	r.Header.Del("Keep-Alive")
 }
 
-// rest returns how long a connection may rest after an answer.
-func rest(h http.Header) time.Duration {
+// keepAliveTimeout returns how long a connection may be idle after a response with headers h:
+// the endpoint's Keep-Alive timeout less keepAliveMargin, or defaultIdle.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if seconds, err := strconv.Atoi(value); strings.EqualFold(name, "timeout") && err == nil {
@@ -200,11 +203,11 @@
 	return defaultIdle
 }
 
-// maxBody bounds a body that is read as a whole.
+// maxBody is the maximum number of bytes read from a body that is read at once.
 const maxBody = 16 << 20
 
-// Read reads the body. io.EOF is returned only at its proper end: an answer that
-// breaks off ends with another error.
+// Read reads the body. It returns io.EOF only at the body's proper end; a truncated body ends
+// with another error.
 func (a *Answer) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	if err == io.EOF {
@@ -213,29 +216,28 @@
 	return n, err
 }
 
-// ReadAll reads the whole body.
+// ReadAll reads the body, at most maxBody bytes of it.
 func (a *Answer) ReadAll() ([]byte, error) {
 	return io.ReadAll(io.LimitReader(a, maxBody))
 }
 
-// Close ends the call: the connection is kept when the answer was read to its
-// end and nothing about it was odd, and closed otherwise, which tells the
-// endpoint to stop its work. It may be called again.
+// Close ends the call. It returns the connection to the pool if the request and response are
+// complete and the connection may be reused; otherwise it closes the connection, which tells
+// the endpoint to stop its work. Further calls do nothing.
 func (a *Answer) Close() {
 	if a.stop == nil {
 		return
 	}
 	clean := a.stop()
 	a.stop = nil
-	if !clean || !a.ended || a.keep <= 0 || !a.wrote() || a.conn.reader.Buffered() > 0 {
+	if !clean || !a.ended || a.maxIdle <= 0 || !a.wrote() || a.conn.reader.Buffered() > 0 {
 		_ = a.conn.Close()
 		return
 	}
 	_ = a.conn.SetReadDeadline(time.Time{})
-	a.pool.put(a.address, a.conn, a.keep)
+	a.pool.put(a.address, a.conn, a.maxIdle)
 }
 
-// wrote reports whether the whole request has been written.
 func (a *Answer) wrote() bool {
 	select {
 	case <-a.written:
--- a/adapter/upstream/pool.go
+++ b/adapter/upstream/pool.go
@@ -1,5 +1,6 @@
-// Package upstream sends requests to endpoints over HTTP/1.1, one at a time on a
-// connection, and says for each failure whether the request was sent.
+// Package upstream is the HTTP/1.1 client for endpoints; each error says whether the request
+// may have reached the endpoint. A Pool reuses connections and sends one request at a time on
+// each: call Do, read the Answer, and Close it.
 package upstream
 
 import (
@@ -10,25 +11,23 @@
 	"time"
 )
 
-// Bounds of connections.
+// Limits on connections.
 const (
-	// dialTimeout bounds the making of a connection: hosts are a few
-	// milliseconds apart, and a lost opening packet is sent again after a
-	// second.
+	// dialTimeout bounds the dial. Hosts are a few milliseconds apart, and a lost SYN is
+	// retransmitted after a second.
 	dialTimeout = 1200 * time.Millisecond
-	// keepAliveMargin is how long before an endpoint's own bound a connection
-	// is no longer used.
+	// keepAliveMargin is how long before the endpoint's own idle timeout a connection is no
+	// longer reused.
 	keepAliveMargin = 800 * time.Millisecond
-	// defaultIdle is how long a connection rests at most when the endpoint does
-	// not say.
+	// defaultIdle is the maximum idle time if the endpoint sends no Keep-Alive timeout.
 	defaultIdle = 4 * time.Second
-	// readBuffer holds the head of an answer and a few events.
+	// readBuffer holds the head of a response and a few events.
 	readBuffer = 2048
 )
 
 // Pool keeps idle connections to endpoints. The zero Pool is ready to use.
 type Pool struct {
-	// Opened is called for each new connection, when it is set.
+	// Opened, if set, is called for each new connection.
 	Opened func()
 
 	mu   sync.Mutex
@@ -39,20 +38,21 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// since is when it was put back, until when it is no longer used.
-	since, until time.Time
+	// idleSince is when the connection was returned to the pool, expires when it may no longer
+	// be reused.
+	idleSince, expires time.Time
 }
 
-// take returns a connection to address: an idle one that has rested for less
-// than rest, or else a new one.
-func (p *Pool) take(ctx context.Context, address string, rest time.Duration) (*conn, error) {
+// take returns a connection to address: a pooled one that has been idle for less than maxIdle,
+// or a new one.
+func (p *Pool) take(ctx context.Context, address string, maxIdle time.Duration) (*conn, error) {
 	now := time.Now()
 	for {
 		c := p.pop(address)
 		if c == nil {
 			break
 		}
-		if now.Before(c.until) && now.Sub(c.since) < rest && c.quiet() {
+		if now.Before(c.expires) && now.Sub(c.idleSince) < maxIdle && c.reusable() {
 			return c, nil
 		}
 		_ = c.Close()
@@ -68,7 +68,8 @@
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
 
-// pop takes the connection that was put back last.
+// pop removes and returns the connection to address that was returned last, nil if there is
+// none.
 func (p *Pool) pop(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,14 +82,14 @@
 	return c
 }
 
-// put keeps a connection for later.
-func (p *Pool) put(address string, c *conn, keep time.Duration) {
-	if keep <= 0 {
+// put returns a connection to the pool, for reuse within maxIdle.
+func (p *Pool) put(address string, c *conn, maxIdle time.Duration) {
+	if maxIdle <= 0 {
 		_ = c.Close()
 		return
 	}
-	c.since = time.Now()
-	c.until = c.since.Add(keep)
+	c.idleSince = time.Now()
+	c.expires = c.idleSince.Add(maxIdle)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
@@ -97,12 +98,12 @@
 	p.idle[address] = append(p.idle[address], c)
 }
 
-// sweepEvery is how often idle connections are looked through.
-const sweepEvery = time.Second
+// sweepInterval is the interval between checks for expired connections.
+const sweepInterval = time.Second
 
-// Run closes idle connections that have rested too long until ctx ends.
+// Run closes expired idle connections until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -114,14 +115,14 @@
 	}
 }
 
-// Sweep closes the connections that have rested too long.
+// Sweep closes the idle connections that have expired at now.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) {
+			if now.Before(c.expires) {
 				kept = append(kept, c)
 			} else {
 				_ = c.Close()
@@ -136,7 +137,7 @@
 	}
 }
 
-// Drop closes the idle connections to an address, whose endpoint has gone.
+// Drop closes the idle connections to the address of an endpoint that has gone.
 func (p *Pool) Drop(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/adapter/upstream/pool_test.go
+++ b/adapter/upstream/pool_test.go
@@ -18,16 +18,16 @@
 	"github.com/grademill/grademill/adapter/upstream"
 )
 
-// patience bounds every wait: a test that reaches it has failed.
-const patience = 30 * time.Second
+// waitTimeout bounds every wait: a test that reaches it has failed.
+const waitTimeout = 30 * time.Second
 
-// server answers each request on a bare connection by a script.
+// server is an endpoint whose raw connections are scripted.
 type server struct {
 	address string
 	conns   atomic.Int32
 }
 
-// serve starts a server whose connections are handled by handle.
+// serve starts a server that calls handle for each connection.
 func serve(t *testing.T, handle func(c net.Conn, r *bufio.Reader)) *server {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -49,7 +49,7 @@
 	return s
 }
 
-// answers returns a handler that gives each request the next answer.
+// answers returns a handler that answers successive requests with the items of list.
 func answers(list ...string) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, r *bufio.Reader) {
 		for _, answer := range list {
@@ -62,7 +62,7 @@
 			}
 			_, _ = io.WriteString(c, answer)
 		}
-		_, _ = r.ReadByte() // until the other side closes
+		_, _ = r.ReadByte() // until the client closes
 	}
 }
 
@@ -76,9 +76,9 @@
 	}
 }
 
-// get sends one call and reads its answer.
+// get sends one call and reads its response.
 func get(p *upstream.Pool, c upstream.Call) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	answer, err := p.Do(ctx, c)
 	if err != nil {
@@ -89,7 +89,7 @@
 	return string(body), err
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	s := serve(t, answers(ok, ok, ok))
 	var p upstream.Pool
 	for range 3 {
@@ -100,8 +100,8 @@
 	require.EqualValues(t, 1, s.conns.Load())
 }
 
-// A connection about which anything is odd is never used again.
-func TestOddConnectionsAreNotUsedAgain(t *testing.T) {
+// A connection must not be reused after a response that leaves its state in doubt.
+func TestUncertainConnectionsAreNotReused(t *testing.T) {
 	cases := []struct{ name, answer string }{
 		{"closing", "HTTP/1.1 200 OK\r\nId: mine\r\nConnection: close\r\nContent-Length: 5\r\n\r\nwhole"},
 		{"bytes after the answer", ok + "HTTP/1.1 200 OK\r\n"},
@@ -123,8 +123,8 @@
 	}
 }
 
-// An answer that breaks off never looks complete.
-func TestBrokenAnswers(t *testing.T) {
+// A truncated or malformed response must never look complete.
+func TestTruncatedResponses(t *testing.T) {
 	cases := []struct{ name, answer string }{
 		{"short body", "HTTP/1.1 200 OK\r\nId: mine\r\nContent-Length: 50\r\n\r\nwhole"},
 		{"chunks without an end", "HTTP/1.1 200 OK\r\nId: mine\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n"},
@@ -149,9 +149,9 @@
 	}
 }
 
-// An answer without a length ends with its connection: a proper close is its
-// end, a reset is not.
-func TestAnswerWithoutALength(t *testing.T) {
+// A response without a length is complete if its connection closes, and truncated if it is
+// reset.
+func TestResponseWithoutLength(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		t.Run(fmt.Sprint("reset ", reset), func(t *testing.T) {
 			s := serve(t, func(c net.Conn, r *bufio.Reader) {
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestUnreachableEndpointWasSentNothing(t *testing.T) {
+func TestNothingIsSentToUnreachableEndpoint(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, listener.Close())
@@ -188,9 +188,9 @@
 	require.False(t, failed.Sent)
 }
 
-// An endpoint may answer before it has read a long body, and go on reading: the
-// rest of the body still goes there, and nothing else.
-func TestAnswerBeforeTheEndOfALongBody(t *testing.T) {
+// An endpoint may respond before it has read a long body, and go on reading. The remainder of
+// that body must still be sent on the connection, and no other request.
+func TestResponseBeforeEndOfLongBody(t *testing.T) {
 	body := strings.Repeat("0123456789", 400_000)
 	got := make(chan string, 1)
 	s := serve(t, func(c net.Conn, r *bufio.Reader) {
@@ -199,7 +199,7 @@
 			return
 		}
 		_, _ = io.WriteString(c, ok)
-		text, _ := io.ReadAll(request.Body) // a cut body shows in the comparison
+		text, _ := io.ReadAll(request.Body) // a truncated body fails the comparison
 		got <- string(text)
 	})
 	c := call(s.address)
@@ -214,7 +214,7 @@
 	require.EqualValues(t, 2, s.conns.Load())
 }
 
-// A caller that leaves ends the connection at once.
+// Cancelling the context closes the connection at once.
 func TestCancelClosesTheConnection(t *testing.T) {
 	arrived, closed := make(chan struct{}), make(chan struct{})
 	s := serve(t, func(_ net.Conn, r *bufio.Reader) {
@@ -234,7 +234,7 @@
 	require.ErrorIs(t, err, context.Canceled)
 	select {
 	case <-closed:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		require.Fail(t, "the connection is still open")
 	}
 }
--- a/adapter/upstream/quiet.go
+++ b/adapter/upstream/quiet.go
@@ -2,9 +2,9 @@
 
 import "github.com/grademill/grademill/adapter/peek"
 
-// quiet reports whether a connection that has rested is still open and without
-// bytes that nobody asked for. It looks without taking anything.
-func (c *conn) quiet() bool {
+// reusable reports whether an idle connection is still open and has no unsolicited bytes. It
+// reads nothing from the connection.
+func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
