--- a/adapter/probe/prober.go
+++ b/adapter/probe/prober.go
@@ -1,5 +1,6 @@
-// Package probe asks endpoints whether they live, and tells one that is silent from a
-// process that has no time to listen.
+// Package probe checks whether endpoints are alive, and tells a silent endpoint from a process
+// that is too starved of processor time to notice the answer. Call Ask or AskSince on a Prober
+// when a stream from an endpoint stalls or breaks.
 package probe
 
 import (
@@ -13,52 +14,52 @@
 	"github.com/grademill/grademill/port/runner"
 )
 
-// fresh is how long an answer serves all who ask: a chain that breaks stops
-// many streams at once.
-const fresh = 60 * time.Millisecond
+// reportLifetime is how long one report is shared among all streams that ask: a broken chain
+// stops many streams at once.
+const reportLifetime = 60 * time.Millisecond
 
-// Prober shares the reports of endpoints among the streams that ask for them. Set the
-// exported fields before the first use.
+// Prober asks endpoints for reports and shares them among the streams that ask at about the
+// same time. Set the exported fields before the first use.
 type Prober struct {
-	// Control asks an endpoint.
+	// Control sends the request for a report.
 	Control runner.Control
-	// Silence returns why a question is given up, or nil once answered is closed; nil for
-	// Silence of this package.
+	// Silence returns the reason to give up a request, or nil once answered is closed. If nil,
+	// the function Silence of this package is used.
 	Silence func(answered <-chan struct{}) error
-	// Reference returns the address of another endpoint that lives, empty for none. One that
-	// seems silent is compared with it: where neither answers in time, the way there is choked.
+	// Reference returns the address of another live endpoint, empty for none. An endpoint that
+	// seems silent is compared with it: if neither answers in time, the network path is
+	// congested.
 	Reference func(address string) string
 
 	mu   sync.Mutex
 	last map[string]*probe
 }
 
-// probe is the last report of an endpoint. Its mutex is held while the endpoint
-// is asked.
+// probe is the last report of an endpoint. Its mutex is held while the endpoint is asked.
 type probe struct {
 	mu sync.Mutex
-	// begun is when the question was asked, at when it was answered.
+	// begun is when the request was sent, at when it was answered.
 	begun, at time.Time
 	report    runner.Report
 	err       error
 }
 
-// Ask returns the report of the endpoint at an address, asking it when the last
-// answer is old. The error is ErrHeldUp when nothing can be said of the endpoint.
+// Ask returns the report of the endpoint at address; it asks the endpoint unless a recent
+// report is known. The error is ErrHeldUp if it is uncertain whether the endpoint is alive.
 func (p *Prober) Ask(ctx context.Context, address string) (runner.Report, error) {
 	return p.AskSince(ctx, address, time.Time{})
 }
 
-// AskSince does the same, and takes no answer to a question that was asked before a time: what has
-// happened by then shows in none.
+// AskSince is like Ask, but does not use the answer to a request sent before since, which
+// cannot show what has happened up to then.
 func (p *Prober) AskSince(ctx context.Context, address string, since time.Time) (runner.Report, error) {
-	one := p.of(address)
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	if time.Since(one.at) < fresh && !one.begun.Before(since) {
-		return one.report, one.err
+	entry := p.probeOf(address)
+	entry.mu.Lock()
+	defer entry.mu.Unlock()
+	if time.Since(entry.at) < reportLifetime && !entry.begun.Before(since) {
+		return entry.report, entry.err
 	}
-	one.begun = time.Now()
+	entry.begun = time.Now()
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	defer cancel(nil)
 	answered := make(chan struct{})
@@ -76,17 +77,17 @@
 			cancel(err)
 		}
 	}()
-	one.report, one.err = p.Control.Report(ctx, address)
-	if one.err != nil {
-		one.err = unanswered(ctx, one.err)
+	entry.report, entry.err = p.Control.Report(ctx, address)
+	if entry.err != nil {
+		entry.err = noAnswerReason(ctx, entry.err)
 	}
-	one.at = time.Now()
-	return one.report, one.err
+	entry.at = time.Now()
+	return entry.report, entry.err
 }
 
-// compare returns why an endpoint that seems silent is given up, or nil once it has answered: its
-// question went out before that of the reference, so that a way that was choked brings its answer
-// first.
+// compare returns the reason to give up an endpoint that seems silent, or nil once it has
+// answered. The endpoint was asked before the reference: if the path was congested, its answer
+// arrives first.
 func (p *Prober) compare(ctx context.Context, address string, silent error, answered <-chan struct{}) error {
 	if p.Reference == nil {
 		return silent
@@ -95,23 +96,23 @@
 	if reference == "" {
 		return silent
 	}
-	ctx, cancel := context.WithTimeout(ctx, silentWait+silentTurn)
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout+readGrace)
 	defer cancel()
 	var refused *runner.RefusedError
 	if _, err := p.Control.Report(ctx, reference); err != nil && !errors.As(err, &refused) {
 		return ErrHeldUp
 	}
-	if waited(answered, silentTurn) {
+	if answeredWithin(answered, readGrace) {
 		return nil
 	}
 	return silent
 }
 
-// unanswered returns why a question has no answer, whatever of that the client's error kept: it
-// hides the reason when its own bound has passed, too. That is longer than the judgement of the
-// silence takes, so that a process that reaches it first was held up. 18 streams were broken off
-// at once where this was taken for the silence of ten endpoints.
-func unanswered(ctx context.Context, err error) error {
+// noAnswerReason returns the reason why a request has no answer. The client's error hides the
+// context's cause if the client's own timeout has passed, too. That timeout is longer than
+// Silence takes, so a process that reaches it first was starved of processor time. Without
+// this, a starved process took ten endpoints for silent and broke off 18 streams at once.
+func noAnswerReason(ctx context.Context, err error) error {
 	var late interface{ Timeout() bool }
 	switch cause := context.Cause(ctx); {
 	case errors.Is(err, syscall.ECONNREFUSED):
@@ -124,8 +125,8 @@
 	return err
 }
 
-// of returns the probe of an address.
-func (p *Prober) of(address string) *probe {
+// probeOf returns the probe probeOf an address and creates it if necessary.
+func (p *Prober) probeOf(address string) *probe {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.last == nil {
--- a/adapter/probe/prober_test.go
+++ b/adapter/probe/prober_test.go
@@ -12,16 +12,16 @@
 	"github.com/grademill/grademill/port/runner"
 )
 
-// lossy is a client whose errors hide why a question was given up, as those of net/http do once its
-// own bound has passed, too.
-type lossy struct{ limit time.Duration }
+// causeHider is a client whose errors hide the cause of the context's cancellation, as those
+// of net/http do once the client's own timeout has passed, too.
+type causeHider struct{ limit time.Duration }
 
-func (l lossy) Report(ctx context.Context, _ string) (runner.Report, error) {
+func (l causeHider) Report(ctx context.Context, _ string) (runner.Report, error) {
 	select {
 	case <-ctx.Done():
-		return runner.Report{}, &timeoutError{context.Cause(ctx).Error() + " (bound exceeded)"}
+		return runner.Report{}, &timeoutError{context.Cause(ctx).Error() + " (timeout exceeded)"}
 	case <-time.After(l.limit):
-		return runner.Report{}, &timeoutError{"bound exceeded"}
+		return runner.Report{}, &timeoutError{"timeout exceeded"}
 	}
 }
 
@@ -31,11 +31,11 @@
 func (*timeoutError) Timeout() bool   { return true }
 func (*timeoutError) Temporary() bool { return true }
 
-// A gateway that had no processor time for 1.3 s took ten endpoints for dead at once, and broke off
-// 18 streams: "endpoint does not answer" with the error "this process was held up, and cannot tell
-// whether there is an answer (Client.Timeout exceeded while awaiting headers)". The HTTP client had
-// passed its own bound meanwhile, and its error no longer was ErrHeldUp.
-func TestHeldUpProcessSaysSoWhateverTheClientSays(t *testing.T) {
+// Guards against taking live endpoints for dead in a starved process. A gateway without
+// processor time for 1.3 s reported ten endpoints as not answering and broke off 18 streams:
+// the HTTP client's own timeout had passed meanwhile, and its error ("Client.Timeout exceeded
+// while awaiting headers") no longer wrapped ErrHeldUp.
+func TestStarvedProcessIsReportedWhateverTheClientError(t *testing.T) {
 	never := func(answered <-chan struct{}) error {
 		<-answered
 		return nil
@@ -44,13 +44,13 @@
 		silence func(<-chan struct{}) error
 		want    error
 	}{
-		"held up":                  {func(<-chan struct{}) error { return probe.ErrHeldUp }, probe.ErrHeldUp},
-		"bound of the client only": {never, probe.ErrHeldUp},
-		"silent":                   {func(<-chan struct{}) error { return errSilent }, errSilent},
+		"starved process":            {func(<-chan struct{}) error { return probe.ErrHeldUp }, probe.ErrHeldUp},
+		"timeout of the client only": {never, probe.ErrHeldUp},
+		"silent":                     {func(<-chan struct{}) error { return errSilent }, errSilent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := probe.Prober{Control: control{lossy: lossy{time.Second}}, Silence: c.silence}
+				p := probe.Prober{Control: control{causeHider: causeHider{time.Second}}, Silence: c.silence}
 				_, err := p.Ask(t.Context(), "endpoint")
 				require.ErrorIs(t, err, c.want)
 			})
@@ -58,29 +58,28 @@
 	}
 }
 
-// errSilent is that of a test.
 var errSilent = &probe.SilentError{Busy: 0.01}
 
-// control only reports.
+// control implements only Report.
 type control struct {
 	runner.Control // nil: nothing else is called
-	lossy
+	causeHider
 }
 
 // Report implements runner.Control.
 func (c control) Report(ctx context.Context, address string) (runner.Report, error) {
-	return c.lossy.Report(ctx, address)
+	return c.causeHider.Report(ctx, address)
 }
 
-// slow answers for each endpoint after a time of its own, never where it has none.
-type slow struct {
+// delayed answers each endpoint after its delay in delays, and never if it has none.
+type delayed struct {
 	runner.Control // nil: nothing else is called
-	times          map[string]time.Duration
+	delays         map[string]time.Duration
 }
 
 // Report implements runner.Control.
-func (s slow) Report(ctx context.Context, address string) (runner.Report, error) {
-	took, lives := s.times[address]
+func (s delayed) Report(ctx context.Context, address string) (runner.Report, error) {
+	took, lives := s.delays[address]
 	if !lives {
 		took = time.Hour
 	}
@@ -92,26 +91,27 @@
 	}
 }
 
-// While large configurations came three times a second, the links of hosts were full for 0.1 s and
-// more: gateways found 136 endpoints silent in ten seconds, 104 of which answered again at once, and
-// moved 620 streams away from them. Nothing told a silent endpoint from a choked way to all.
-func TestSilenceIsComparedWithAnotherEndpoint(t *testing.T) {
+// Guards against taking a congested path for silent endpoints. While large configurations
+// arrived three times a second, host links were saturated for 0.1 s and more: gateways found
+// 136 endpoints silent in ten seconds, 104 of which answered again at once, and moved 620
+// streams away from them.
+func TestSilentEndpointIsComparedWithAnother(t *testing.T) {
 	const quick, choked = 4 * time.Millisecond, 200 * time.Millisecond
 	for name, c := range map[string]struct {
-		times map[string]time.Duration
-		want  error
+		delays map[string]time.Duration
+		want   error
 	}{
-		"the other answers":   {map[string]time.Duration{"other": quick}, errSilent},
-		"neither in time":     {map[string]time.Duration{"other": choked, "endpoint": choked}, probe.ErrHeldUp},
-		"its answer comes":    {map[string]time.Duration{"other": quick, "endpoint": 75 * time.Millisecond}, nil},
-		"no other is there":   {map[string]time.Duration{}, probe.ErrHeldUp},
-		"it answers, slowly":  {map[string]time.Duration{"other": quick, "endpoint": choked}, errSilent},
-		"it answers, quickly": {map[string]time.Duration{"endpoint": quick}, nil},
+		"reference answers": {map[string]time.Duration{"other": quick}, errSilent},
+		"neither in time":   {map[string]time.Duration{"other": choked, "endpoint": choked}, probe.ErrHeldUp},
+		"endpoint answers":  {map[string]time.Duration{"other": quick, "endpoint": 75 * time.Millisecond}, nil},
+		"nothing answers":   {map[string]time.Duration{}, probe.ErrHeldUp},
+		"slow endpoint":     {map[string]time.Duration{"other": quick, "endpoint": choked}, errSilent},
+		"quick endpoint":    {map[string]time.Duration{"endpoint": quick}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := probe.Prober{
-					Control:   slow{times: c.times},
+					Control:   delayed{delays: c.delays},
 					Reference: func(string) string { return "other" },
 					Silence: func(answered <-chan struct{}) error {
 						select {
@@ -129,9 +129,9 @@
 	}
 }
 
-// counting is a client that counts the questions, all of which are answered.
+// counting is a client that answers every request at once and counts them.
 type counting struct {
-	runner.Control // nil: what is not asked here must not be called
+	runner.Control // nil: no other method is called
 	asked          int
 }
 
@@ -140,10 +140,10 @@
 	return runner.Report{}, nil
 }
 
-// An answer that serves all who ask for a moment is no word on what happens in that moment: an endpoint
-// that had just answered and then ended under a request passed for one that lives, and its end was not
-// charged to the request.
-func TestAnswerFromBeforeIsNotTaken(t *testing.T) {
+// A shared answer says nothing about events after its request was sent. Without AskSince, an
+// endpoint that had just answered and then ended under a request counted as alive, and its end
+// was not charged to the request.
+func TestAnswerToEarlierRequestIsNotUsed(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := new(counting)
@@ -161,6 +161,6 @@
 		require.Equal(t, 2, c.asked)
 		time.Sleep(10 * time.Millisecond)
 		ask(broken)
-		require.Equal(t, 2, c.asked, "what was asked after the break serves")
+		require.Equal(t, 2, c.asked, "a report requested after the break is used")
 	})
 }
--- a/adapter/probe/silence.go
+++ b/adapter/probe/silence.go
@@ -8,56 +8,57 @@
 	"github.com/grademill/grademill/adapter/cputime"
 )
 
-// The figures of telling the silence of an endpoint from a process that has no time
-// to hear it.
+// Thresholds to tell a silent endpoint from a process that is too starved of processor time to
+// read its answer.
 const (
-	// silentWait is how long a question waits for its answer: an endpoint answers
-	// within a few milliseconds, and a stream may pause for 200 ms in all.
-	silentWait = 60 * time.Millisecond
-	// silentTurn is the time for answers that have come while this process was held
-	// up: some hosts get their processor in slices of a tenth of a second.
-	silentTurn = 10 * time.Millisecond
-	// silentSpans is how often a process that is held up waits for so long before it
-	// gives up.
-	silentSpans = 4
-	// busyShare is the part of a processor from which on a process counts as held
-	// up: the users' hosts have from 0.14 of one, and a calm gateway uses 0.03.
-	busyShare = 0.1
-	// lateTimers is by how much the timers of a span may fire late in all. In a calm
-	// gateway it is 2 ms, in one that takes in a large configuration 3 to 7 ms, in one
-	// that gets a fifth of its processor 27 ms and more.
-	lateTimers = 2500 * time.Microsecond
-	// veryLateTimers is that from which on even a busy process has no say.
-	veryLateTimers = 8 * time.Millisecond
+	// answerTimeout is how long a request waits for its answer: an endpoint answers within a
+	// few milliseconds, and a stream may pause for 200 ms in all.
+	answerTimeout = 60 * time.Millisecond
+	// readGrace is extra time to read answers that arrived while this process was starved:
+	// some hosts get their processor in slices of a tenth of a second.
+	readGrace = 10 * time.Millisecond
+	// maxSpans is the number of waits after which a starved process gives up.
+	maxSpans = 4
+	// maxBusy is the share of a processor above which a process may be starved: hosts have
+	// from 0.14 of a processor, and a calm gateway uses 0.03.
+	maxBusy = 0.1
+	// maxTimerDelay is the maximum total delay of a span's timers in a process that is not
+	// starved. It is 2 ms in a calm gateway, 3 to 7 ms in one that loads a large
+	// configuration, and at least 27 ms in one that gets a fifth of its processor.
+	maxTimerDelay = 2500 * time.Microsecond
+	// maxTimerDelayBusy is the same for a process that is busy in every span; above it the
+	// result is uncertain.
+	maxTimerDelayBusy = 8 * time.Millisecond
 )
 
-// Silence returns why a question is given up, or nil once it has been answered: that
-// a span has passed without an answer, in which this process had little to do and
-// its timers fired on time. In a process that is held up the answer may lie unread;
-// one that is busy all the time judges by its timers alone.
+// Silence waits for answered to be closed and returns nil once it is. It returns a
+// *SilentError if a span passes without an answer while this process used little processor
+// time and its timers fired on time. In a starved process the answer may lie unread, so
+// Silence waits again; after maxSpans it judges by the timer delay alone and returns ErrHeldUp
+// if that is too long.
 func Silence(answered <-chan struct{}) error {
-	var late time.Duration
+	var timerDelay time.Duration
 	busy := 0.0
-	for range silentSpans {
+	for range maxSpans {
 		begun, used := time.Now(), cputime.Used()
-		if waited(answered, silentWait) || waited(answered, silentTurn) {
+		if answeredWithin(answered, answerTimeout) || answeredWithin(answered, readGrace) {
 			return nil
 		}
 		took := time.Since(begun)
-		late = took - silentWait - silentTurn
+		timerDelay = took - answerTimeout - readGrace
 		busy = float64(cputime.Used()-used) / float64(took)
-		if late <= lateTimers && busy <= busyShare {
+		if timerDelay <= maxTimerDelay && busy <= maxBusy {
 			return &SilentError{Busy: busy}
 		}
 	}
-	if late <= veryLateTimers {
+	if timerDelay <= maxTimerDelayBusy {
 		return &SilentError{Busy: busy}
 	}
 	return ErrHeldUp
 }
 
-// waited waits for an answer, and reports whether it has come.
-func waited(answered <-chan struct{}, d time.Duration) bool {
+// answeredWithin reports whether answered is closed within d.
+func answeredWithin(answered <-chan struct{}, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -68,16 +69,16 @@
 	}
 }
 
-// SilentError is a question that got no answer in time.
+// SilentError reports that an endpoint did not answer in time.
 type SilentError struct {
-	// Busy is the part of a processor that this process used meanwhile.
+	// Busy is the share of a processor that this process used during the wait.
 	Busy float64
 }
 
-// Error says so.
 func (e *SilentError) Error() string {
-	return fmt.Sprintf("no answer in time, while this process used %.3f of a processor", e.Busy)
+	return fmt.Sprintf("no answer in time while this process used %.3f of a processor", e.Busy)
 }
 
-// ErrHeldUp is a question without an answer, of a process that was held up itself.
-var ErrHeldUp = errors.New("this process was held up, and cannot tell whether there is an answer")
+// ErrHeldUp reports that no answer was seen, but that this process was starved of processor
+// time or the network path congested, so that the endpoint may have answered.
+var ErrHeldUp = errors.New("this process was starved of processor time, so it is uncertain whether the endpoint answered")
