--- a/adapter/ingress/conn.go
+++ b/adapter/ingress/conn.go
@@ -101,7 +101,7 @@
 
 // ambiguousLength reports whether the head of a chunked request also has a Content-Length, so
 // that two HTTP parsers may disagree on where the request ends; net/http ignores the length. A
-// head that was not recorded completely counts as ambiguousLength.
+// head that was not recorded completely counts as ambiguous.
 func (c *conn) ambiguousLength() bool {
 	head, _, whole := bytes.Cut(c.head, []byte("\r\n\r\n"))
 	return !whole || bytes.Contains(bytes.ToLower(head), []byte("\ncontent-length"))
--- a/adapter/probe/prober.go
+++ b/adapter/probe/prober.go
@@ -125,7 +125,7 @@
 	return err
 }
 
-// probeOf returns the probe probeOf an address and creates it if necessary.
+// probeOf returns the probe of an address and creates it if necessary.
 func (p *Prober) probeOf(address string) *probe {
 	p.mu.Lock()
 	defer p.mu.Unlock()
