--- a/adapter/meter/entry.go
+++ b/adapter/meter/entry.go
@@ -1,5 +1,7 @@
-// Package meter holds the metrics of the processes. Labels are bounded by the
-// configuration: teams, services, and closed sets.
+// Package meter holds the Prometheus metrics of the processes. Label values are bounded: each
+// is the name of a team or service in the configuration, or one of a fixed set.
+//
+// Create the metrics with NewEntry or NewGateway and expose their Registry.
 package meter
 
 import (
@@ -8,9 +10,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Entry is the metrics of an entry. Make one with NewEntry.
+// Entry holds the metrics of an entry. Create it with NewEntry.
 type Entry struct {
-	// Registry has all of them.
+	// Registry contains all metrics of the entry.
 	Registry *prometheus.Registry
 
 	ended     *prometheus.CounterVec
@@ -26,10 +28,10 @@
 
 const namespace = "grademill"
 
-// latencyBuckets reach from a step to a deadline, in seconds.
+// latencyBuckets are histogram buckets in seconds, from the time of one step to a deadline.
 var latencyBuckets = prometheus.ExponentialBuckets(0.001, 2, 16)
 
-// NewEntry returns the metrics in a registry of their own.
+// NewEntry returns the metrics of an entry in a new registry.
 func NewEntry() *Entry {
 	m := &Entry{Registry: prometheus.NewRegistry()}
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
@@ -49,30 +51,30 @@
 		m.Registry.MustRegister(v)
 		return v
 	}
-	m.ended = counter("requests_total", "Requests by their end.", "team", "service", "outcome", "code")
-	m.tokens = counter("tokens_total", "Tokens given to callers.", "team", "service")
-	m.rebuilds = counter("chain_rebuilds_total", "Attempts after the first, by cause.", "cause")
-	m.platform = counter("platform_calls_total", "Calls of the platform's service.", "kind")
-	m.queueing = histogram("queue_seconds", "Time until a request got a chain.")
+	m.ended = counter("requests_total", "Requests that ended, by outcome.", "team", "service", "outcome", "code")
+	m.tokens = counter("tokens_total", "Tokens sent to callers.", "team", "service")
+	m.rebuilds = counter("chain_rebuilds_total", "Attempts after the first of a request, by cause.", "cause")
+	m.platform = counter("platform_calls_total", "Calls to the platform's key-value service.", "kind")
+	m.queueing = histogram("queue_seconds", "Time that a request waited for a chain.")
 	m.first = histogram("first_token_seconds", "Time until the first token.")
 	m.between = histogram("between_tokens_seconds", "Time between two tokens.")
 	m.revision = gauge("config_revision", "Revision of the configuration in force.")
-	m.endpoints = gauge("endpoints", "Endpoints known.")
+	m.endpoints = gauge("endpoints", "Known endpoints.")
 	return m
 }
 
-// Ended counts the end of a request. Code is empty for a request that is done.
+// Ended counts a request that ended. Code is empty for a request that succeeded.
 func (m *Entry) Ended(team, service, outcome, code string) {
 	m.ended.WithLabelValues(team, service, outcome, code).Inc()
 }
 
-// Queued notes how long a request waited for a chain.
+// Queued records how long a request waited for a chain.
 func (m *Entry) Queued(service string, d time.Duration) {
 	m.queueing.WithLabelValues(service).Observe(d.Seconds())
 }
 
-// Token counts a token that came d after the one before it, or after the start
-// of the request when it is the first.
+// Token counts a token that came d after the previous one, or after the start of the request
+// if it is the first.
 func (m *Entry) Token(team, service string, first bool, d time.Duration) {
 	m.tokens.WithLabelValues(team, service).Inc()
 	times := m.between
@@ -82,22 +84,22 @@
 	times.WithLabelValues(service).Observe(d.Seconds())
 }
 
-// Rebuilt counts an attempt after the first.
+// Rebuilt counts an attempt after the first of a request.
 func (m *Entry) Rebuilt(cause string) {
 	m.rebuilds.WithLabelValues(cause).Inc()
 }
 
-// PlatformCall counts a call of the platform's service.
+// PlatformCall counts a call to the platform's key-value service.
 func (m *Entry) PlatformCall(kind string) {
 	m.platform.WithLabelValues(kind).Inc()
 }
 
-// Revision notes the revision in force.
+// Revision records the revision of the configuration in force.
 func (m *Entry) Revision(revision uint64) {
 	m.revision.Set(float64(revision))
 }
 
-// Endpoints notes the number of endpoints known.
+// Endpoints records the number of known endpoints.
 func (m *Entry) Endpoints(n int) {
 	m.endpoints.Set(float64(n))
 }
--- a/adapter/meter/gateway.go
+++ b/adapter/meter/gateway.go
@@ -6,10 +6,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Gateway is the metrics of a gateway. Make one with NewGateway. All labels are
-// closed sets.
+// Gateway holds the metrics of a gateway. Create it with NewGateway. Each label has a fixed
+// set of values.
 type Gateway struct {
-	// Registry has all of them.
+	// Registry contains all metrics of the gateway.
 	Registry *prometheus.Registry
 
 	ended       *prometheus.CounterVec
@@ -24,16 +24,17 @@
 	platform    *prometheus.CounterVec
 	store       *prometheus.CounterVec
 	digests     *prometheus.CounterVec
-	fleet       *prometheus.GaugeVec
+	endpoints   *prometheus.GaugeVec
 	revision    prometheus.Gauge
 	connections prometheus.Counter
 	dropped     prometheus.Counter
 }
 
-// gatewayBuckets reach from a hop to a caller's patience, in seconds.
+// gatewayBuckets are histogram buckets in seconds, from one network hop to the longest time
+// that callers wait.
 var gatewayBuckets = prometheus.ExponentialBuckets(0.005, 2, 13)
 
-// NewGateway returns the metrics in a registry of their own.
+// NewGateway returns the metrics of a gateway in a new registry.
 func NewGateway() *Gateway {
 	m := &Gateway{
 		Registry: prometheus.NewRegistry(),
@@ -41,7 +42,7 @@
 			Namespace: namespace, Name: "gateway_requests_total", Help: "Requests by kind and outcome.",
 		}, []string{"kind", "outcome"}),
 		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Namespace: namespace, Name: "gateway_first_seconds", Help: "Time to the first byte of an answer.",
+			Namespace: namespace, Name: "gateway_first_seconds", Help: "Time to the first byte of a response.",
 			Buckets: gatewayBuckets,
 		}, []string{"kind"}),
 		total: prometheus.NewHistogramVec(prometheus.HistogramOpts{
@@ -53,55 +54,56 @@
 			Buckets: gatewayBuckets,
 		}),
 		retries: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Namespace: namespace, Name: "gateway_retries_total", Help: "Sends after the first, by cause.",
+			Namespace: namespace, Name: "gateway_retries_total", Help: "Requests sent to an endpoint again, by cause.",
 		}, []string{"cause"}),
 		checks: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Namespace: namespace, Name: "gateway_checks_total", Help: "Checks whether an endpoint lives, by result.",
+			Namespace: namespace, Name: "gateway_checks_total", Help: "Checks whether an endpoint is alive, by result.",
 		}, []string{"result"}),
 		orders: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Namespace: namespace, Name: "gateway_orders_total", Help: "Orders to endpoints, by result.",
+			Namespace: namespace, Name: "gateway_orders_total", Help: "Orders sent to endpoints, by result.",
 		}, []string{"result"}),
 		held: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "gateway_held_total",
-			Help: "Requests that an endpoint does not take for now, by its reason: limit, rest or leaving.",
+			Help: "Requests held back from an endpoint, by reason: limit, rest (backoff period) or leaving.",
 		}, []string{"reason"}),
 		quarantine: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "gateway_quarantine_total",
-			Help: "Events of the requests under which endpoints have ended.",
+			Help: "Events of requests during which endpoints ended.",
 		}, []string{"event"}),
 		platform: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Namespace: namespace, Name: "gateway_platform_calls_total", Help: "Calls of the controls of endpoints.",
+			Namespace: namespace, Name: "gateway_platform_calls_total", Help: "Calls to the control interfaces of endpoints.",
 		}, []string{"kind"}),
 		store: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "gateway_store_calls_total",
-			Help: "Calls of the store by kind and result: done, refused or unanswered.",
+			Help: "Calls to the store, by kind and result: done, refused or unanswered.",
 		}, []string{"kind", "result"}),
 		digests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "gateway_digest_bytes_total",
-			Help: "Bytes of digests for other gateways, by whether they were sent or dropped for their part of the link.",
+			Help: "Bytes of digests for other gateways, sent or dropped to stay within their share of the link.",
 		}, []string{"fate"}),
-		fleet: prometheus.NewGaugeVec(prometheus.GaugeOpts{
-			Namespace: namespace, Name: "gateway_endpoints", Help: "Endpoints that this gateway knows of: open or leaving.",
+		endpoints: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+			Namespace: namespace, Name: "gateway_endpoints", Help: "Endpoints known to this gateway, by state: open or leaving.",
 		}, []string{"state"}),
 		revision: prometheus.NewGauge(prometheus.GaugeOpts{
-			Namespace: namespace, Name: "gateway_store_revision", Help: "Revision up to which this gateway knows the store.",
+			Namespace: namespace, Name: "gateway_store_revision", Help: "Latest store revision known to this gateway.",
 		}),
 		connections: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "gateway_connections_total", Help: "Connections opened to endpoints.",
 		}),
 		dropped: prometheus.NewCounter(prometheus.CounterOpts{
-			Namespace: namespace, Name: "gateway_log_lines_dropped_total", Help: "Log lines that nobody read in time.",
+			Namespace: namespace, Name: "gateway_log_lines_dropped_total", Help: "Log lines dropped because their reader was too slow.",
 		}),
 	}
 	m.Registry.MustRegister(
-		m.ended, m.first, m.total, m.pause, m.retries, m.checks, m.orders, m.held, m.quarantine, m.platform, m.store, m.digests, m.fleet, m.revision, m.connections, m.dropped)
+		m.ended, m.first, m.total, m.pause, m.retries, m.checks, m.orders, m.held, m.quarantine, m.platform, m.store, m.digests, m.endpoints, m.revision, m.connections, m.dropped)
 	return m
 }
 
 // Connection counts a new connection to an endpoint.
 func (m *Gateway) Connection() { m.connections.Inc() }
 
-// Request counts a request that ended.
+// Request counts a request that ended, with the times to its first byte and its end. A first
+// of 0 means that no byte was sent.
 func (m *Gateway) Request(kind, outcome string, first, total time.Duration) {
 	m.ended.WithLabelValues(kind, outcome).Inc()
 	m.total.WithLabelValues(kind).Observe(total.Seconds())
@@ -110,16 +112,16 @@
 	}
 }
 
-// Pause notes the longest pause of a stream.
+// Pause records the longest pause of a stream.
 func (m *Gateway) Pause(d time.Duration) { m.pause.Observe(d.Seconds()) }
 
-// Retry counts a second send.
+// Retry counts a request that is sent again.
 func (m *Gateway) Retry(cause string) { m.retries.WithLabelValues(cause).Inc() }
 
-// Check counts a check whether an endpoint lives.
+// Check counts a check whether an endpoint is alive.
 func (m *Gateway) Check(result string) { m.checks.WithLabelValues(result).Inc() }
 
-// Digest counts the bytes of a digest for another gateway.
+// Digest counts the bytes of a digest for another gateway, sent or dropped.
 func (m *Gateway) Digest(bytes int, dropped bool) {
 	fate := "sent"
 	if dropped {
@@ -128,29 +130,29 @@
 	m.digests.WithLabelValues(fate).Add(float64(bytes))
 }
 
-// Fleet notes how many endpoints take new work, and how many are leaving.
+// Fleet records how many endpoints accept new requests and how many are leaving.
 func (m *Gateway) Fleet(open, leaving int) {
-	m.fleet.WithLabelValues("open").Set(float64(open))
-	m.fleet.WithLabelValues("leaving").Set(float64(leaving))
+	m.endpoints.WithLabelValues("open").Set(float64(open))
+	m.endpoints.WithLabelValues("leaving").Set(float64(leaving))
 }
 
-// Store notes up to which revision the store is known.
+// Store records the latest known store revision.
 func (m *Gateway) Store(revision uint64) { m.revision.Set(float64(revision)) }
 
-// Order counts an order.
+// Order counts an order to an endpoint.
 func (m *Gateway) Order(result string) { m.orders.WithLabelValues(result).Inc() }
 
-// Held counts a request that an endpoint does not take for now.
+// Held counts a request that is held back from an endpoint.
 func (m *Gateway) Held(reason string) { m.held.WithLabelValues(reason).Inc() }
 
-// Quarantine counts an event of the requests under which endpoints have ended.
+// Quarantine counts an event of a request during which endpoints ended.
 func (m *Gateway) Quarantine(event string) { m.quarantine.WithLabelValues(event).Inc() }
 
-// StoreCall counts a call of the store.
+// StoreCall counts a call to the store.
 func (m *Gateway) StoreCall(kind, result string) { m.store.WithLabelValues(kind, result).Inc() }
 
-// PlatformCall counts a call of an endpoint's controls.
+// PlatformCall counts a call to an endpoint's control interface.
 func (m *Gateway) PlatformCall(kind string) { m.platform.WithLabelValues(kind).Inc() }
 
-// Dropped counts log lines that were dropped.
+// Dropped counts dropped log lines.
 func (m *Gateway) Dropped(n int) { m.dropped.Add(float64(n)) }
