--- a/adapter/callerhttp/server.go
+++ b/adapter/callerhttp/server.go
@@ -1,5 +1,6 @@
-// Package callerhttp serves callers over HTTP: completions in the shape that
-// callers of model servers use, and calls of plain services by name.
+// Package callerhttp is an entry's HTTP interface for callers: completions in the request
+// format that is customary for model servers, and calls of plain services by name. Set the
+// fields of a Server and serve its Handler.
 package callerhttp
 
 import (
@@ -17,7 +18,8 @@
 	"github.com/grademill/grademill/port/router"
 )
 
-// Bounds of what a caller may send.
+// Limits on callers' requests: body and key in bytes, prompt and answer in tokens.
+// defaultLimit is the number of tokens if max_tokens is absent.
 const (
 	maxBody      = 1 << 20
 	maxPrompt    = 128 << 10
@@ -26,7 +28,7 @@
 	defaultLimit = 16
 )
 
-// The headers that callers use.
+// Headers of callers' requests and of responses.
 const (
 	headerDeadline = "Grademill-Deadline-Ms"
 	headerKey      = "Idempotency-Key"
@@ -35,15 +37,15 @@
 
 // Server serves callers. Set the exported fields, then use Handler.
 type Server struct {
-	// Router serves the requests.
+	// Router routes the requests to endpoints.
 	Router router.Router
-	// Team returns the team of a key's SHA-256 in hexadecimal.
+	// Team returns the team whose key has the given SHA-256 in hexadecimal.
 	Team func(hash string) (string, bool)
-	// Ready reports whether callers should be sent here.
+	// Ready reports whether callers should be directed to this process.
 	Ready func() bool
 }
 
-// Handler returns the handler of all paths.
+// Handler returns the handler for all paths.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/completions", s.completions)
@@ -56,7 +58,7 @@
 	return mux
 }
 
-// completionRequest is the body of a completion.
+// completionRequest is the body of a completion request.
 type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    prompt `json:"prompt"`
@@ -64,7 +66,8 @@
 	Stream    bool   `json:"stream"`
 }
 
-// prompt is a text, one token for each byte, or an array of tokens.
+// prompt is a list of tokens. In JSON it is an array of tokens, or a text with one token per
+// byte.
 type prompt []uint32
 
 // UnmarshalJSON decodes either form.
@@ -84,7 +87,8 @@
 	return nil
 }
 
-// authenticate returns the team of the caller, or writes a refusal.
+// authenticate returns the caller's team; if there is none, it writes a refusal and returns
+// false.
 func (s *Server) authenticate(w http.ResponseWriter, r *http.Request) (string, bool) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if ok && key != "" {
@@ -98,7 +102,7 @@
 	return "", false
 }
 
-// deadline returns the caller's deadline.
+// deadline returns the deadline that the request's header sets, the zero time if it has none.
 func deadline(r *http.Request) (time.Time, *outcome.Report) {
 	text := r.Header.Get(headerDeadline)
 	if text == "" {
@@ -111,7 +115,7 @@
 	return time.Now().Add(time.Duration(millis) * time.Millisecond), nil
 }
 
-// body reads a bounded body.
+// body reads the request body, up to maxBody bytes.
 func body(w http.ResponseWriter, r *http.Request) ([]byte, *outcome.Report) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	var large *http.MaxBytesError
@@ -124,7 +128,7 @@
 	return data, nil
 }
 
-// completions serves one completion.
+// completions serves a completion request.
 func (s *Server) completions(w http.ResponseWriter, r *http.Request) {
 	team, ok := s.authenticate(w, r)
 	if !ok {
@@ -141,7 +145,8 @@
 	out.end(usage, err)
 }
 
-// parseCompletion returns the request of a body.
+// parseCompletion decodes and checks a completion request, and reports whether it asks for a
+// stream.
 func parseCompletion(w http.ResponseWriter, r *http.Request) (router.Completion, bool, *outcome.Report) {
 	data, report := body(w, r)
 	if report != nil {
@@ -172,7 +177,7 @@
 	return router.Completion{Service: in.Model, Prompt: in.Prompt, MaxTokens: limit, Deadline: at}, in.Stream, report
 }
 
-// services serves one call of a plain service.
+// services serves a call of a plain service.
 func (s *Server) services(w http.ResponseWriter, r *http.Request) {
 	team, ok := s.authenticate(w, r)
 	if !ok {
@@ -182,9 +187,9 @@
 	if report == nil && len(r.Header.Get(headerKey)) > maxKey {
 		report = outcome.Refuse(outcome.BadRequest, headerKey+" is too long", 0)
 	}
-	at, late := deadline(r)
+	at, badDeadline := deadline(r)
 	if report == nil {
-		report = late
+		report = badDeadline
 	}
 	if report != nil {
 		writeProblem(w, report)
--- a/adapter/callerhttp/write.go
+++ b/adapter/callerhttp/write.go
@@ -11,7 +11,7 @@
 	"github.com/grademill/grademill/port/router"
 )
 
-// Problem is the body of a refusal (RFC 9457).
+// Problem is the body of an error response (RFC 9457).
 type Problem struct {
 	Type    string `json:"type"`
 	Title   string `json:"title"`
@@ -19,11 +19,11 @@
 	Detail  string `json:"detail"`
 	Outcome string `json:"outcome"`
 	Code    string `json:"code"`
-	// RetryAfter is in seconds, 0 when coming back is no use.
+	// RetryAfter is the delay in seconds after which to retry, 0 if a retry is no use.
 	RetryAfter int `json:"retry_after,omitempty"`
 }
 
-// statuses maps codes to HTTP statuses; others are 503.
+// statuses maps codes to HTTP statuses; codes not listed map to 503.
 var statuses = map[outcome.Code]int{
 	outcome.BadRequest:   http.StatusBadRequest,
 	outcome.TooLarge:     http.StatusRequestEntityTooLarge,
@@ -38,7 +38,7 @@
 	outcome.Internal:     http.StatusInternalServerError,
 }
 
-// problemOf returns the body for a report.
+// problemOf returns the response body for a report.
 func problemOf(r *outcome.Report) Problem {
 	status, ok := statuses[r.Code]
 	if !ok {
@@ -50,7 +50,7 @@
 	}
 }
 
-// writeProblem writes a report as the whole answer.
+// writeProblem writes a report as the whole response.
 func writeProblem(w http.ResponseWriter, r *outcome.Report) {
 	p := problemOf(r)
 	w.Header().Set("Content-Type", "application/problem+json")
@@ -61,8 +61,8 @@
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-// choice is one answer of a completion. FinishReason is the end mark: an answer
-// without it is not whole.
+// choice is one answer of a completion. FinishReason marks its end: an answer without it is
+// incomplete.
 type choice struct {
 	Index        int      `json:"index"`
 	Text         string   `json:"text"`
@@ -70,13 +70,13 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// usage counts the tokens of a whole answer.
+// usage holds the number of tokens and attempts of a complete answer.
 type usage struct {
 	CompletionTokens int `json:"completion_tokens"`
 	Attempts         int `json:"attempts"`
 }
 
-// completion is a whole answer, or one event of a streamed one.
+// completion is a complete answer, or one event of a streamed one.
 type completion struct {
 	ID      string   `json:"id,omitempty"`
 	Object  string   `json:"object"`
@@ -85,10 +85,10 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// finishLength is the end mark of an answer of the asked length.
+// finishLength is the finish reason of an answer of the requested length.
 const finishLength = "length"
 
-// completionWriter writes a completion, streamed or whole.
+// completionWriter writes a completion, streamed or as one body.
 type completionWriter struct {
 	w      http.ResponseWriter
 	model  string
@@ -97,7 +97,7 @@
 	tokens []uint32
 }
 
-// token takes one token of the answer.
+// token adds one token of the answer.
 func (c *completionWriter) token(token uint32) error {
 	if !c.stream {
 		c.tokens = append(c.tokens, token)
@@ -106,7 +106,7 @@
 	return c.event("", c.body([]uint32{token}))
 }
 
-// body returns a completion with tokens.
+// body returns a completion that contains tokens.
 func (c *completionWriter) body(tokens []uint32) completion {
 	return completion{
 		Object: "text_completion", Model: c.model,
@@ -114,7 +114,7 @@
 	}
 }
 
-// text returns tokens as text. Tokens are characters for want of a tokenizer.
+// text returns tokens as text. Each token is one character, since there is no tokenizer.
 func text(tokens []uint32) string {
 	runes := make([]rune, len(tokens))
 	for i, token := range tokens {
@@ -123,7 +123,7 @@
 	return string(runes)
 }
 
-// event writes one server-sent event.
+// event writes one server-sent event and flushes it.
 func (c *completionWriter) event(kind string, body any) error {
 	if !c.begun {
 		c.begun = true
@@ -143,7 +143,7 @@
 	return http.NewResponseController(c.w).Flush()
 }
 
-// end writes the end mark with the count of tokens, or the problem.
+// end writes the finish reason and the usage, or the problem.
 func (c *completionWriter) end(u router.Usage, err error) {
 	report, failed := outcome.Of(err)
 	switch {
@@ -165,7 +165,7 @@
 	}
 }
 
-// finished returns the completion that carries the end mark.
+// finished returns the completion with the finish reason and the usage.
 func (c *completionWriter) finished(tokens []uint32, u router.Usage) completion {
 	body := c.body(tokens)
 	reason := finishLength
