--- a/adapter/adminhttp/server.go
+++ b/adapter/adminhttp/server.go
@@ -1,5 +1,6 @@
-// Package adminhttp serves the operators: the configuration with its
-// conditions and outcomes, the state of the fleet, metrics and profiles.
+// Package adminhttp is the HTTP interface for operators: reading and conditionally changing
+// the configuration, the state of the fleet, health, metrics and profiles. Set the fields of a
+// Server and serve its Handler.
 package adminhttp
 
 import (
@@ -34,40 +35,41 @@
 	headerWriteID = "Grademill-Write-Id"
 )
 
-// Changer takes changes of the configuration.
+// Changer applies changes to the configuration.
 type Changer interface {
 	Change(ctx context.Context, id string, c config.Change, match *uint64) (uint64, error)
 	Find(ctx context.Context, id string) (uint64, error)
 }
 
-// Status is the state of the fleet as one entry sees it.
+// Status is the state of the fleet as one entry knows it.
 type Status struct {
-	// Revisions is the configuration in force at each process heard of.
+	// Revisions maps each known process to the revision of the configuration in force there.
 	Revisions map[string]uint64 `json:"revisions"`
-	// Endpoints are all endpoints heard of, those that are leaving too.
+	// Endpoints are all known endpoints, including those that are leaving.
 	Endpoints []fleet.Endpoint `json:"endpoints"`
 }
 
-// Server serves the operators. Set the exported fields, then use Handler. With Changes nil it serves metrics and health only.
+// Server serves operators. Set the exported fields, then use Handler. If Changes is nil it
+// serves only metrics, profiles and health.
 type Server struct {
-	// Operators maps the SHA-256 of an operator's key, in hexadecimal, to a
+	// Operators maps the SHA-256 of each operator's key, in hexadecimal, to the operator's
 	// name.
 	Operators map[string]string
-	// Changes takes changes.
+	// Changes applies changes to the configuration.
 	Changes Changer
-	// Config is the configuration in force here.
+	// Config is the configuration in force in this process.
 	Config *replica.Config
 	// Status returns the state of the fleet.
 	Status func() Status
-	// Ready reports whether callers should be sent here.
+	// Ready reports whether callers should be directed to this process.
 	Ready func() bool
-	// Metrics are what /metrics shows.
+	// Metrics is the source for /metrics.
 	Metrics prometheus.Gatherer
-	// Log gets an audit line for each change.
+	// Log receives an audit line for each change.
 	Log zerolog.Logger
 }
 
-// Handler returns the handler of all paths.
+// Handler returns the handler for all paths.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(http.ResponseWriter, *http.Request) {})
@@ -91,7 +93,8 @@
 	return mux
 }
 
-// operator lets only operators through, and names them.
+// operator authenticates an operator and passes the operator's name to serve; other requests
+// get status 401.
 func (s *Server) operator(serve func(http.ResponseWriter, *http.Request, string)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -106,22 +109,22 @@
 	}
 }
 
-// The outcomes of a change.
+// The outcomes of a change. NotKnown means that it is uncertain whether the change was made.
 const (
 	Accepted = "accepted"
 	Refused  = "refused"
 	NotKnown = "not_known"
 )
 
-// Result is the answer to a change.
+// Result is the response to a change.
 type Result struct {
 	// Outcome is Accepted, Refused or NotKnown.
 	Outcome string `json:"outcome"`
-	// Revision is that of an accepted change.
+	// Revision is the revision of an accepted change.
 	Revision uint64 `json:"revision,omitempty"`
-	// WriteID is what to ask about when the outcome is not known.
+	// WriteID identifies the change, to query its outcome later if it is not known.
 	WriteID string `json:"write_id,omitempty"`
-	// Detail says why a change was refused or is not known.
+	// Detail is the reason why a change was refused or its outcome is not known.
 	Detail string `json:"detail,omitempty"`
 }
 
@@ -150,7 +153,7 @@
 	}
 }
 
-// get writes one object with its revision as ETag.
+// get writes one object, with its revision as ETag.
 func (s *Server) get(w http.ResponseWriter, r *http.Request, _ string) {
 	state := s.Config.Current().State
 	kind, name := config.Kind(r.PathValue("kind")), r.PathValue("name")
@@ -170,7 +173,7 @@
 	}
 }
 
-// change puts or retires one object.
+// change writes or deletes one object, subject to the condition in the request's headers.
 func (s *Server) change(w http.ResponseWriter, r *http.Request, who string) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
@@ -207,17 +210,16 @@
 	answer(w, http.StatusOK, Result{Outcome: Accepted, Revision: revision, WriteID: id})
 }
 
-// matchError is an If-Match or If-None-Match header that is not understood.
+// matchError reports an invalid If-Match or If-None-Match header.
 type matchError struct {
 	text string
 }
 
-// Error shows the header.
 func (e *matchError) Error() string {
 	return "If-Match must be one quoted revision, or If-None-Match *, not " + e.text
 }
 
-// ifMatch returns the revision that the object must have, nil for any.
+// ifMatch returns the revision that the object must have: 0 if it must not exist, nil for any.
 func ifMatch(r *http.Request) (*uint64, error) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return new(uint64), nil
@@ -237,17 +239,17 @@
 	return &revision, nil
 }
 
-// refuseChange writes why a change was not accepted, or that this is not known.
+// refuseChange writes why a change was refused, or that its outcome is not known.
 func refuseChange(w http.ResponseWriter, id string, err error) {
-	var doubt *headlog.InDoubtError
-	if errors.As(err, &doubt) {
+	var uncertain *headlog.InDoubtError
+	if errors.As(err, &uncertain) {
 		answer(w, http.StatusAccepted, Result{Outcome: NotKnown, WriteID: id, Detail: trace.UserMessage(err)})
 		return
 	}
 	refuse(w, err)
 }
 
-// refuse writes a refusal with the status of its cause.
+// refuse writes a refusal, with the status for its cause.
 func refuse(w http.ResponseWriter, err error) {
 	var match *config.MatchError
 	var invalid *config.InvalidError
@@ -273,7 +275,7 @@
 	}
 }
 
-// write answers what became of a write whose outcome was not known.
+// write serves the outcome of an earlier change, found by its write ID.
 func (s *Server) write(w http.ResponseWriter, r *http.Request, _ string) {
 	id := r.PathValue("id")
 	revision, err := s.Changes.Find(r.Context(), id)
