--- a/adapter/watchhttp/watch.go
+++ b/adapter/watchhttp/watch.go
@@ -1,5 +1,6 @@
-// Package watchhttp carries the questions of package watchcache between gateways as HTTP, as
-// those of the store that they stand for.
+// Package watchhttp is the HTTP transport by which gateways ask each other's caches for store
+// changes, in place of asking the store itself. Client is the asking side, a
+// watchcache.Source; Handler answers from a watchcache.Cache.
 package watchhttp
 
 import (
@@ -21,52 +22,52 @@
 	wire "github.com/grademill/grademill/wire/watch"
 )
 
-// path is that of a question for changes.
+// path is the path of a request for changes.
 const path = "/changes"
 
-// The figures of a call.
+// Limits of a call.
 const (
-	// callSlack is how much longer than it may be held a question takes at most: the
-	// way takes a few milliseconds, and a slow host some tens.
+	// callSlack is added to the time that the peer may hold a request, to bound the whole
+	// call: the network takes a few milliseconds, and a slow host some tens.
 	callSlack = 250 * time.Millisecond
-	// dialWait bounds the making of a connection.
-	dialWait = 250 * time.Millisecond
-	// idle is how long a connection without a question is kept.
-	idle = 10 * time.Second
-	// maxWait bounds how long a question is held, whatever it asks.
+	// dialTimeout bounds the dial.
+	dialTimeout = 250 * time.Millisecond
+	// idleTimeout is how long an unused connection is kept.
+	idleTimeout = 10 * time.Second
+	// maxWait bounds how long a request is held, whatever it asks for.
 	maxWait = 5 * time.Second
-	// maxAnswer bounds the body of an answer.
+	// maxAnswer is the maximum number of bytes read from a response body.
 	maxAnswer = 4 << 20
 )
 
-// Client asks other gateways. Make it with NewClient.
+// Client asks other gateways for changes. Create it with NewClient.
 type Client struct {
 	http *http.Client
 }
 
 var _ watchcache.Source = (*Client)(nil)
 
-// NewClient returns a client.
+// NewClient returns a client without connections.
 func NewClient() *Client {
-	dialer := net.Dialer{Timeout: dialWait}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	return &Client{http: &http.Client{Transport: &http.Transport{
-		DialContext: dialer.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 1, IdleConnTimeout: idle,
+		DialContext: dialer.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTimeout,
 		ReadBufferSize: 1024, WriteBufferSize: 1024,
 	}}}
 }
 
-// RefusedError is a question that the other gateway refused.
+// RefusedError reports a request that the other gateway refused.
 type RefusedError struct {
 	Status int
 	Reason string
 }
 
-// Error returns the reason.
+// Error returns the status and the reason.
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("the other gateway refused the question with status %d: %s", e.Status, e.Reason)
+	return fmt.Sprintf("other gateway refused the request with status %d: %s", e.Status, e.Reason)
 }
 
-// Unwrap says that the other gateway has heard the question.
+// Unwrap returns watchcache.ErrRefused: the other gateway has received the request.
 func (e *RefusedError) Unwrap() error { return watchcache.ErrRefused }
 
 // Ask implements watchcache.Source.
@@ -104,7 +105,7 @@
 	return decode(&changes), nil
 }
 
-// decode returns the answer that a message holds.
+// decode returns the answer in a message.
 func decode(c *wire.Changes) watchcache.Answer {
 	a := watchcache.Answer{
 		At: c.GetAt(), Sum: c.GetSum(), Age: time.Duration(c.GetAgeMicros()) * time.Microsecond,
@@ -116,8 +117,8 @@
 	return a
 }
 
-// encode returns the message of an answer. The age is rounded up, and what it was held
-// down: the proof must not look newer than it is.
+// encode returns the message for an answer. It rounds the age up and the hold time down, so
+// that the freshness proof never looks newer than it is.
 func encode(a watchcache.Answer) *wire.Changes {
 	c := &wire.Changes{
 		At: a.At, Sum: a.Sum, AgeMicros: uint64(a.Age.Microseconds()) + 1, HeldMicros: uint64(a.Held.Microseconds()),
@@ -128,11 +129,11 @@
 	return c
 }
 
-// Handler answers the questions of other gateways from a cache.
+// Handler returns a handler that answers other gateways from a cache.
 func Handler(h *watchcache.Cache) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, func(w http.ResponseWriter, r *http.Request) {
-		q, err := question(r.URL.Query())
+		q, err := parseQuestion(r.URL.Query())
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -151,13 +152,13 @@
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		_, _ = w.Write(text) // a gateway that has left asks another one
+		_, _ = w.Write(text) // a gateway that has disconnected asks another one
 	})
 	return mux
 }
 
-// question reads a question from the query of a request.
-func question(values url.Values) (watchcache.Question, error) {
+// parseQuestion decodes the query of a request for changes.
+func parseQuestion(values url.Values) (watchcache.Question, error) {
 	after, err := strconv.ParseUint(values.Get("after"), 10, 64)
 	if err != nil {
 		return watchcache.Question{}, trace.BadParameter("after: %v", err)
