--- a/adapter/frame/codec.go
+++ b/adapter/frame/codec.go
@@ -1,5 +1,6 @@
-// Package frame reads and writes the step protocol: a length of four bytes,
-// big-endian, and a wire.Batch of that length.
+// Package frame encodes the step protocol, which carries wire.Batch messages between
+// processes. A frame is a big-endian length of four bytes followed by a wire.Batch of that
+// length. Wrap a connection in a Codec; the first frame must pass CheckHello.
 package frame
 
 import (
@@ -14,28 +15,28 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// Version is the version of the step protocol that this program speaks.
+// Version is the version of the step protocol.
 const Version = 1
 
-// MaxBytes is the size of the largest frame.
+// MaxBytes is the maximum length of a frame's message.
 const MaxBytes = 4 << 20
 
 const headBytes = 4
 
-// TooLargeError is a frame longer than MaxBytes.
+// TooLargeError reports a frame longer than MaxBytes.
 type TooLargeError struct {
-	// Bytes is the length that the frame claims.
+	// Bytes is the length in the frame's header.
 	Bytes uint32
 }
 
-// Error returns the claimed and the allowed length.
+// Error returns the frame's length and the maximum.
 func (e *TooLargeError) Error() string {
 	return fmt.Sprintf("frame of %d bytes, at most %d allowed", e.Bytes, MaxBytes)
 }
 
-// MalformedError is a frame that is cut or does not decode.
+// MalformedError reports a frame that is truncated or cannot be decoded.
 type MalformedError struct {
-	// Err is what the reader or the decoder said.
+	// Err is the error of the reader or the decoder.
 	Err error
 }
 
@@ -49,9 +50,9 @@
 	return e.Err
 }
 
-// VersionError is a peer that speaks another version.
+// VersionError reports a peer with another protocol version.
 type VersionError struct {
-	// Peer is the version of the other side.
+	// Peer is the peer's version.
 	Peer uint32
 }
 
@@ -60,18 +61,17 @@
 	return fmt.Sprintf("peer speaks step protocol %d, this program %d", e.Peer, Version)
 }
 
-// Codec reads and writes frames on one stream. It reuses its buffers; one
-// goroutine may read while another writes.
+// Codec reads and writes frames on one stream. It reuses its buffers: at most one goroutine
+// may read and one write at a time.
 type Codec struct {
-	// Stream is the connection; set before the first use.
+	// Stream is the underlying connection. Set it before the first use.
 	Stream io.ReadWriter
 
 	in, out []byte
 }
 
-// Read returns the next frame. It returns io.EOF at the end of the stream
-// between two frames, a MalformedError or a TooLargeError on a bad frame, and
-// the stream's error otherwise.
+// Read returns the next frame. It returns io.EOF if the stream ends between two frames, a
+// MalformedError or a TooLargeError for an invalid frame, and the stream's error otherwise.
 func (c *Codec) Read() (*wire.Batch, error) {
 	var head [headBytes]byte
 	if _, err := io.ReadFull(c.Stream, head[:]); err != nil {
@@ -112,8 +112,8 @@
 	return err
 }
 
-// CheckHello returns a VersionError when batch does not open a connection of
-// this version.
+// CheckHello returns a VersionError unless batch is the hello of a connection with this
+// protocol version.
 func CheckHello(batch *wire.Batch) error {
 	if v := batch.GetHello().GetVersion(); v != Version {
 		return trace.Wrap(&VersionError{v})
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// sized returns buf with length n, allocating when it is too small.
+// sized returns buf with length n, or a new buffer if its capacity is too small.
 func sized(buf []byte, n int) []byte {
 	if cap(buf) < n {
 		return make([]byte, n)
--- a/adapter/frame/codec_test.go
+++ b/adapter/frame/codec_test.go
@@ -72,7 +72,7 @@
 	var version *frame.VersionError
 	require.True(t, errors.As(err, &version))
 	require.Equal(t, uint32(frame.Version+1), version.Peer)
-	require.Error(t, frame.CheckHello(new(wire.Batch)), "a first frame without a hello")
+	require.Error(t, frame.CheckHello(new(wire.Batch)), "first frame without a hello")
 }
 
 func FuzzRead(f *testing.F) {
--- a/adapter/link/set.go
+++ b/adapter/link/set.go
@@ -1,6 +1,6 @@
-// Package link keeps the outgoing step connections of a process, one for each
-// peer. What is queued for a peer while a frame is being written travels in
-// the next frame together.
+// Package link keeps the outgoing step connections of a process, one per peer, and batches
+// messages: those queued while a frame is being written go out together in the next frame. Set
+// the fields of a Set and queue messages by peer address; connections are opened as needed.
 package link
 
 import (
@@ -15,26 +15,28 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// Protocol is the first byte on a connection that carries steps.
+// Protocol is the first byte on a connection that carries steps; it tells them from control
+// connections on the same port.
 const Protocol = 'S'
 
 const (
 	dialTimeout  = 2 * time.Second
 	writeTimeout = 5 * time.Second
-	// maxPending bounds the messages that wait for one peer.
+	// maxPending is the maximum number of messages queued for one peer; beyond it the
+	// connection is closed.
 	maxPending = 1 << 16
 )
 
-// Set is the connections to all peers. Set the exported fields before the
-// first use. A connection that breaks loses what was queued on it; Down tells,
-// and the next message dials anew.
+// Set holds the connections to all peers. Set the exported fields before the first use. A
+// connection that breaks loses the messages queued on it: Set calls Down, and the next message
+// opens a new connection.
 type Set struct {
-	// Name and Incarnation go into the hello.
+	// Name and Incarnation identify this process in the hello.
 	Name        string
 	Incarnation uint64
-	// Down is called, without locks held, when the connection to a peer breaks.
+	// Down is called when the connection to a peer breaks, without locks held.
 	Down func(address string)
-	// Log gets a line for each broken connection.
+	// Log receives a line for each broken connection.
 	Log zerolog.Logger
 
 	mu     sync.Mutex
@@ -57,7 +59,7 @@
 	s.queue(address, func(b *wire.Batch) { b.Cancels = append(b.Cancels, m) })
 }
 
-// Trouble queues a trouble for the process at address.
+// Trouble queues a trouble report for the process at address.
 func (s *Set) Trouble(address string, m *wire.Trouble) {
 	s.queue(address, func(b *wire.Batch) { b.Troubles = append(b.Troubles, m) })
 }
@@ -67,7 +69,7 @@
 	s.queue(address, func(b *wire.Batch) { b.Heartbeats = append(b.Heartbeats, m) })
 }
 
-// News queues news for the process at address.
+// News queues an update for the process at address.
 func (s *Set) News(address string, m *wire.News) {
 	s.queue(address, func(b *wire.Batch) { b.News = append(b.News, m) })
 }
@@ -108,7 +110,7 @@
 	}
 }
 
-// start makes the peer and its goroutine; s.mu is held.
+// start creates the peer and starts its goroutine; s.mu is held.
 func (s *Set) start(address string) *peer {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &peer{address: address, pending: new(wire.Batch), wake: make(chan struct{}, 1), cancel: cancel}
@@ -120,7 +122,7 @@
 	return p
 }
 
-// run carries p's messages until the connection breaks.
+// run sends p's messages until the connection breaks.
 func (s *Set) run(ctx context.Context, p *peer) {
 	err := p.carry(ctx, s)
 	p.cancel()
@@ -133,7 +135,7 @@
 	if closed {
 		return
 	}
-	level := zerolog.DebugLevel // a peer that was never reached
+	level := zerolog.DebugLevel // the peer was never reached
 	if p.connected {
 		level = zerolog.InfoLevel
 	}
@@ -143,7 +145,8 @@
 	}
 }
 
-// take returns what waits for p and leaves an empty batch in its place.
+// take returns the messages pending for p and leaves an empty batch in their place; nil if
+// there are none.
 func (s *Set) take(p *peer) *wire.Batch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,7 +159,7 @@
 	return batch
 }
 
-// peer is one connection.
+// peer is the connection to one peer.
 type peer struct {
 	address string
 	// pending and count are guarded by the set's mutex.
@@ -164,12 +167,12 @@
 	count   int
 	wake    chan struct{}
 	cancel  context.CancelFunc
-	// connected is set once the connection stands; only carry's goroutine
-	// reads and writes it.
+	// connected is set once the connection is established; only the goroutine of carry uses
+	// it.
 	connected bool
 }
 
-// carry dials and writes until ctx ends or the connection breaks.
+// carry opens the connection and writes batches until ctx ends or the connection breaks.
 func (p *peer) carry(ctx context.Context, s *Set) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", p.address)
@@ -179,7 +182,7 @@
 	p.connected = true
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	defer conn.Close() //nolint:errcheck // the cause is what broke it
+	defer conn.Close() //nolint:errcheck // the returned error is the cause
 	if _, err := conn.Write([]byte{Protocol}); err != nil {
 		return err
 	}
@@ -204,7 +207,8 @@
 	}
 }
 
-// watch waits for the end of the connection: the other side never writes.
+// watch cancels the peer when the connection ends. The other side never writes, so a read
+// returns only then.
 func (p *peer) watch(conn net.Conn) {
 	var b [1]byte
 	_, _ = conn.Read(b[:])
--- a/adapter/listen/server.go
+++ b/adapter/listen/server.go
@@ -1,5 +1,6 @@
-// Package listen accepts the connections of peers: steps and control share one
-// address, and the first byte tells which it is.
+// Package listen accepts connections from peers. Step and control connections share one
+// address; the first byte of a connection tells them apart. Set the fields of a Server and run
+// it with Start.
 package listen
 
 import (
@@ -19,19 +20,20 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// helloTimeout bounds how long a new connection may stay silent.
+// helloTimeout is the maximum time until a new connection has sent its first byte and, for
+// steps, its hello.
 const helloTimeout = 5 * time.Second
 
-// Server accepts connections. Set the exported fields before Start; it is a
-// server in the sense of kratos.
+// Server accepts connections from peers. Set the exported fields before Start. It implements
+// the kratos transport.Server interface.
 type Server struct {
-	// Address is where to listen.
+	// Address is the TCP address to listen on.
 	Address string
-	// Batch takes each frame of a step connection, in order.
+	// Batch is called with each frame of a step connection, in order.
 	Batch func(*wire.Batch)
-	// Calls answers the calls of control connections.
+	// Calls holds the methods served on control connections.
 	Calls rpc.Methods
-	// Log gets a line for each refused connection.
+	// Log receives a line for each refused connection.
 	Log zerolog.Logger
 
 	mu       sync.Mutex
@@ -40,7 +42,7 @@
 	closed   bool
 }
 
-// Listen binds the address; Start calls it when nobody has.
+// Listen opens the listener. Start does so if Listen has not been called before.
 func (s *Server) Listen() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +58,7 @@
 	return nil
 }
 
-// Start accepts connections until Stop.
+// Start accepts connections until Stop is called.
 func (s *Server) Start(ctx context.Context) error {
 	if err := s.Listen(); err != nil {
 		return err
@@ -108,7 +110,7 @@
 	delete(s.conns, conn)
 }
 
-// serve reads the first byte and hands the connection on.
+// serve reads the first byte and serves the connection with the protocol that it names.
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
 	defer s.remove(conn)
 	_ = conn.SetReadDeadline(time.Now().Add(helloTimeout))
@@ -151,8 +153,8 @@
 	}
 }
 
-// badFrame returns err when the peer broke the protocol, and nil when the
-// connection has merely ended.
+// badFrame returns err if the peer violated the protocol, and nil if the connection merely
+// ended.
 func badFrame(err error) error {
 	var malformed *frame.MalformedError
 	var large *frame.TooLargeError
--- a/adapter/rpc/client.go
+++ b/adapter/rpc/client.go
@@ -1,5 +1,6 @@
-// Package rpc carries control calls between processes as JSON-RPC 2.0, with
-// the messages of package wire in their JSON form.
+// Package rpc carries control calls between processes as JSON-RPC 2.0 over TCP, with the
+// messages of package wire in their JSON form. Client makes calls; Serve answers them with
+// Methods, each made by Of.
 package rpc
 
 import (
@@ -17,13 +18,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Protocol is the first byte on a connection that carries control calls.
+// Protocol is the first byte on a connection that carries control calls; it tells them from
+// step connections on the same port.
 const Protocol = 'R'
 
 const dialTimeout = time.Second
 
-// UnsentError is a call that never left this process: the peer could not be
-// reached. The call has not run.
+// UnsentError reports a call that was not sent and therefore has not run.
 type UnsentError struct {
 	// Address is the peer.
 	Address string
@@ -41,7 +42,7 @@
 	return e.Err
 }
 
-// LostError is a call without an answer: it may have run.
+// LostError reports a call without an answer; it may have run.
 type LostError struct {
 	// Address is the peer.
 	Address string
@@ -59,15 +60,15 @@
 	return e.Err
 }
 
-// Client calls peers over one connection each. The zero Client is ready.
+// Client calls peers over one connection each. The zero Client is ready to use.
 type Client struct {
 	mu    sync.Mutex
 	conns map[string]*jsonrpc2.Conn
 }
 
-// Call sends request to the method of the peer at address and fills reply. It
-// returns an UnsentError when the request was not sent, a LostError when no
-// answer came, and a jsonrpc2.Error when the peer refused the call.
+// Call calls a method of the peer at address and decodes the answer into reply. It returns an
+// UnsentError if the request was not sent, a LostError if no answer came, and a jsonrpc2.Error
+// if the peer refused the call.
 func (c *Client) Call(ctx context.Context, address, method string, request, reply proto.Message) error {
 	conn, err := c.conn(ctx, address)
 	if err != nil {
@@ -97,8 +98,8 @@
 	c.conns = nil
 }
 
-// failed sorts the error of a call and drops a broken connection. One that a
-// caller merely stopped waiting on stays: other calls are under way on it.
+// failed converts the error of a call and drops a broken connection. A connection is kept if
+// merely the caller's context ended: other calls are in progress on it.
 func (c *Client) failed(ctx context.Context, address string, conn *jsonrpc2.Conn, err error) error {
 	var refused *jsonrpc2.Error
 	if errors.As(err, &refused) {
@@ -119,7 +120,7 @@
 	}
 }
 
-// conn returns the connection to address, dialling when there is none.
+// conn returns the connection to address and opens one if there is none.
 func (c *Client) conn(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
 	c.mu.Lock()
 	conn := c.conns[address]
@@ -141,7 +142,7 @@
 		_ = raw.Close()
 		return nil, err
 	}
-	conn = jsonrpc2.NewConn(context.Background(), stream(raw), noMethods{}, jsonrpc2.SetLogger(quiet{}))
+	conn = jsonrpc2.NewConn(context.Background(), stream(raw), noMethods{}, jsonrpc2.SetLogger(discardLogger{}))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if other := c.conns[address]; other != nil {
@@ -155,17 +156,17 @@
 	return conn, nil
 }
 
-// stream frames JSON objects one after another.
+// stream returns a stream of JSON objects, written one after another.
 func stream(conn net.Conn) jsonrpc2.ObjectStream {
 	return jsonrpc2.NewPlainObjectStream(conn)
 }
 
-// noMethods ignores calls in the wrong direction.
+// noMethods ignores calls from the serving side, which makes none.
 type noMethods struct{}
 
 func (noMethods) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
 
-// quiet drops the library's log lines: the callers log what failed.
-type quiet struct{}
+// discardLogger drops the library's log output: the callers log failures.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/adapter/rpc/methods.go
+++ b/adapter/rpc/methods.go
@@ -9,13 +9,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Method answers one kind of call with raw JSON.
+// Method answers calls of one kind; parameters and result are JSON.
 type Method func(ctx context.Context, params []byte) ([]byte, error)
 
-// Methods maps the name of a method to what answers it.
+// Methods maps method names to methods.
 type Methods map[string]Method
 
-// Of makes a Method out of a function over messages.
+// Of returns a Method that decodes its parameters, calls answer and encodes the result.
 func Of[Req, Rep any, PReq interface {
 	*Req
 	proto.Message
@@ -37,10 +37,10 @@
 	}
 }
 
-// Serve answers calls on conn until it ends.
+// Serve answers calls on conn until the connection ends.
 func Serve(ctx context.Context, conn net.Conn, methods Methods) {
 	handler := jsonrpc2.HandlerWithError(methods.handle).SuppressErrClosed()
-	c := jsonrpc2.NewConn(ctx, stream(conn), jsonrpc2.AsyncHandler(handler), jsonrpc2.SetLogger(quiet{}))
+	c := jsonrpc2.NewConn(ctx, stream(conn), jsonrpc2.AsyncHandler(handler), jsonrpc2.SetLogger(discardLogger{}))
 	<-c.DisconnectNotify()
 }
 
@@ -60,7 +60,7 @@
 	return rawResult(out), nil
 }
 
-// rawResult passes JSON through.
+// rawResult is a result that is JSON already.
 type rawResult []byte
 
 // MarshalJSON returns r itself.
