--- a/adapter/applog/logger.go
+++ b/adapter/applog/logger.go
@@ -1,4 +1,4 @@
-// Package applog lets kratos log through zerolog.
+// Package applog adapts a zerolog logger to the kratos log.Logger interface.
 package applog
 
 import (
@@ -15,7 +15,7 @@
 
 var _ log.Logger = (*Logger)(nil)
 
-// levels maps the levels of kratos.
+// levels maps kratos levels to zerolog levels.
 var levels = map[log.Level]zerolog.Level{
 	log.LevelDebug: zerolog.DebugLevel,
 	log.LevelInfo:  zerolog.InfoLevel,
--- a/adapter/cputime/cputime.go
+++ b/adapter/cputime/cputime.go
@@ -1,4 +1,4 @@
-// Package cputime tells how much processor time this process has used.
+// Package cputime measures the processor time that this process has used.
 package cputime
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Used returns the processor time of all threads of this process since its start,
-// 0 where the system does not tell.
+// Used returns the processor time of all threads of this process since its start, 0 if the
+// system does not report it.
 func Used() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/adapter/enginehttp/client.go
+++ b/adapter/enginehttp/client.go
@@ -1,4 +1,5 @@
-// Package enginehttp reaches a model engine over HTTP.
+// Package enginehttp is the HTTP client for a model engine; its Client implements
+// engine.Engine.
 package enginehttp
 
 import (
@@ -17,7 +18,7 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// StatusError is an answer other than 200.
+// StatusError reports a response with a status other than 200.
 type StatusError struct {
 	Status int
 	Body   string
@@ -28,9 +29,9 @@
 	return fmt.Sprintf("engine answered %d: %s", e.Status, e.Body)
 }
 
-// Client is an engine.Engine. Set Base before the first use.
+// Client is an engine.Engine over HTTP. Set Base before the first use.
 type Client struct {
-	// Base is the engine's address, such as "http://127.0.0.1:8000".
+	// Base is the engine's base URL, such as "http://127.0.0.1:8000".
 	Base string
 
 	http http.Client
@@ -65,8 +66,8 @@
 	return status, trace.Wrap(json.Unmarshal(text, &status))
 }
 
-// order is the body of an order to load.
-type order struct {
+// loadRequest is the body of a request to load layers.
+type loadRequest struct {
 	Term    uint64      `json:"term"`
 	Service string      `json:"service"`
 	Layers  layer.Range `json:"layers"`
@@ -74,7 +75,7 @@
 
 // Load implements engine.Engine.
 func (c *Client) Load(ctx context.Context, term uint64, service string, layers layer.Range) error {
-	body, err := json.Marshal(order{term, service, layers})
+	body, err := json.Marshal(loadRequest{term, service, layers})
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/adapter/hostclock/hostclock.go
+++ b/adapter/hostclock/hostclock.go
@@ -1,5 +1,6 @@
-// Package hostclock reads the clock that goes on while the host is suspended. The steady clock
-// of package time stands still then: by that, what was proven before seems as young as it was.
+// Package hostclock reads a monotonic clock that keeps running while the host is suspended.
+// The monotonic clock of package time stops during a suspension, so that a proof of freshness
+// from before it would seem as recent as it was then.
 package hostclock
 
 import (
@@ -9,19 +10,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the host started, as a time after the beginning of Unix time. It
-// says nothing of the time of day, is never set, and is to be compared with other times of
-// this clock alone. Where the system has no such clock it is that of package time.
+// Now returns the time since the host started, as a time after the Unix epoch. It is not the
+// time of day, is never adjusted, and may only be compared with other times of this clock. On
+// a system without this clock Now returns time.Now.
 func Now() time.Time {
-	if !there() {
+	if !available() {
 		return time.Now()
 	}
 	now, _ := read()
 	return now
 }
 
-// there reports whether the system has the clock: all times must be of the same one.
-var there = sync.OnceValue(func() bool {
+// available reports whether the system has the clock. It is determined once, since all times
+// must come from the same clock.
+var available = sync.OnceValue(func() bool {
 	_, err := read()
 	return err == nil
 })
--- a/adapter/hostclock/hostclock_test.go
+++ b/adapter/hostclock/hostclock_test.go
@@ -9,7 +9,7 @@
 	"github.com/grademill/grademill/adapter/hostclock"
 )
 
-// The clock goes on, and never back.
+// The clock advances and never goes back.
 func TestNowGoesOn(t *testing.T) {
 	first := hostclock.Now()
 	last := first
--- a/adapter/httpserver/server.go
+++ b/adapter/httpserver/server.go
@@ -1,4 +1,4 @@
-// Package httpserver makes HTTP servers of kratos for plain handlers.
+// Package httpserver creates kratos HTTP servers for plain http.Handlers.
 package httpserver
 
 import (
@@ -8,14 +8,14 @@
 	khttp "github.com/go-kratos/kratos/v2/transport/http"
 )
 
-// Bounds of the head of a request.
+// Limits on the head of a request.
 const (
 	maxHeader  = 16 << 10
 	headerWait = 10 * time.Second
 )
 
-// New returns a server of handler at address. It has no bound on the time of a
-// request: answers are streamed, and requests have deadlines of their own.
+// New returns a server for handler at address. It sets no timeout for whole requests:
+// responses are streamed, and requests have their own deadlines.
 func New(address string, handler http.Handler) *khttp.Server {
 	server := khttp.NewServer(khttp.Address(address), khttp.Timeout(0))
 	server.MaxHeaderBytes = maxHeader
--- a/adapter/pause/pause.go
+++ b/adapter/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits in a loop that must end with its context.
+// Package pause provides a sleep that ends early when a context ends, for use in loops.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d, or until ctx ends. It does not wait for no time or less.
+// For waits for d or until ctx ends. It returns at once if d is not positive.
 func For(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/adapter/peek/peek.go
+++ b/adapter/peek/peek.go
@@ -1,4 +1,4 @@
-// Package peek looks at a connection without taking anything from it.
+// Package peek checks a connection for pending data without reading it.
 package peek
 
 import (
@@ -8,15 +8,16 @@
 	"syscall"
 )
 
-// errOpaque is a connection that has no socket to look at.
-var errOpaque = errors.New("the connection has no socket")
+// errNoSocket reports a connection without a socket, which cannot be checked.
+var errNoSocket = errors.New("connection has no socket")
 
-// Pending reports whether bytes that nobody has read wait at a connection. The error is io.EOF
-// when the other side has closed it and none wait. Another goroutine may read meanwhile.
+// Pending reports whether a connection has bytes that have not been read. It returns io.EOF if
+// the other side has closed the connection and no bytes are left. Another goroutine may read
+// at the same time.
 func Pending(c net.Conn) (bool, error) {
 	source, ok := c.(syscall.Conn)
 	if !ok {
-		return false, errOpaque
+		return false, errNoSocket
 	}
 	raw, err := source.SyscallConn()
 	if err != nil {
@@ -24,17 +25,17 @@
 	}
 	var b [1]byte
 	n := 0
-	var found error
+	var recvErr error
 	err = raw.Control(func(fd uintptr) {
-		n, _, found = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, recvErr = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	switch {
 	case err != nil:
 		return false, err
-	case errors.Is(found, syscall.EAGAIN):
+	case errors.Is(recvErr, syscall.EAGAIN):
 		return false, nil
-	case found != nil:
-		return false, found
+	case recvErr != nil:
+		return false, recvErr
 	case n == 0:
 		return false, io.EOF
 	}
--- a/adapter/peek/peek_test.go
+++ b/adapter/peek/peek_test.go
@@ -11,7 +11,7 @@
 	"github.com/grademill/grademill/adapter/peek"
 )
 
-// Nothing is taken by a look, and none of the states is taken for another.
+// Pending reads nothing from the connection and tells its states apart.
 func TestPending(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,23 +28,23 @@
 			return p == pending && err == want
 		}
 	}
-	const patience, poll = 30 * time.Second, time.Millisecond
+	const waitTimeout, poll = 30 * time.Second, time.Millisecond
 	require.True(t, state(false, nil)())
 	_, err = io.WriteString(near, "a")
 	require.NoError(t, err)
-	require.Eventually(t, state(true, nil), patience, poll)
+	require.Eventually(t, state(true, nil), waitTimeout, poll)
 	b := make([]byte, 1)
 	_, err = io.ReadFull(far, b)
 	require.NoError(t, err)
 	require.Equal(t, "a", string(b))
 	read := make(chan error)
-	go func() { // also while another goroutine waits for bytes
+	go func() { // Pending also works while another goroutine is reading
 		_, err := far.Read(b)
 		read <- err
 	}()
 	require.True(t, state(false, nil)())
 	require.NoError(t, near.Close())
-	require.Eventually(t, state(false, io.EOF), patience, poll)
+	require.Eventually(t, state(false, io.EOF), waitTimeout, poll)
 	require.ErrorIs(t, <-read, io.EOF)
 	require.NoError(t, far.Close())
 	_, err = peek.Pending(far)
--- a/adapter/platformhttp/client.go
+++ b/adapter/platformhttp/client.go
@@ -1,5 +1,5 @@
-// Package platformhttp reaches the platform's key-value service and host list
-// over HTTP.
+// Package platformhttp is the HTTP client for the platform's key-value service and host list;
+// its Client implements kv.Store and hosts.Lister.
 package platformhttp
 
 import (
@@ -20,13 +20,13 @@
 	"github.com/grademill/grademill/port/kv"
 )
 
-// Bounds of a call and of a waiting watch.
+// Timeouts of a call and of a watch, which the service holds until there is a change.
 const (
 	callTimeout  = 3 * time.Second
 	watchTimeout = 30 * time.Second
 )
 
-// statusError is an answer that is neither a result nor a known refusal.
+// statusError reports an unexpected status.
 type statusError struct {
 	status int
 	body   string
@@ -37,11 +37,11 @@
 	return fmt.Sprintf("status %d: %s", e.status, e.body)
 }
 
-// Client is a kv.Store and a hosts.Lister. Set Base before the first use.
+// Client is a kv.Store and a hosts.Lister over HTTP. Set Base before the first use.
 type Client struct {
-	// Base is the service's address, such as "http://10.0.0.5:9000".
+	// Base is the service's base URL, such as "http://10.0.0.5:9000".
 	Base string
-	// Counted is called with the kind of each call, when it is set.
+	// Counted, if set, is called with the kind of each call.
 	Counted func(kind string)
 
 	http http.Client
@@ -107,7 +107,7 @@
 	return list, err
 }
 
-// call posts request to a method and decodes the answer into reply.
+// call sends request to a method and decodes the answer into reply.
 func (c *Client) call(ctx context.Context, method, query string, request, reply any) error {
 	if c.Counted != nil {
 		c.Counted(method)
@@ -139,7 +139,7 @@
 	return decode(answer.StatusCode, text, keyOf(request), reply)
 }
 
-// decode turns an answer into a result or a typed error.
+// decode decodes a response into reply, or returns the typed error for its status.
 func decode(status int, text []byte, key string, reply any) error {
 	line := strings.TrimSpace(string(text))
 	switch status {
@@ -159,7 +159,7 @@
 	return trace.Wrap(&kv.UnavailableError{Err: &statusError{status, line}})
 }
 
-// keyOf returns the key that a request is about.
+// keyOf returns the key in a request, for error messages.
 func keyOf(request any) string {
 	switch r := request.(type) {
 	case kv.Pair:
--- a/adapter/process/process.go
+++ b/adapter/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs the servers of one process, as an application of kratos,
-// until it is told to stop.
+// Package process runs the servers of one process, as a kratos application, until the process
+// is told to stop. Create a Process with New and call Run.
 package process
 
 import (
@@ -14,8 +14,8 @@
 	"github.com/grademill/grademill/adapter/applog"
 )
 
-// New returns a process that is not running yet. On a signal to stop it calls
-// drain and then stops the servers; when ctx ends it stops them at once.
+// New returns a process that is not running yet. On a stop signal it calls drain and then
+// stops the servers; when ctx ends it stops them at once.
 func New(ctx context.Context, name string, log zerolog.Logger, drain func(context.Context) error, servers ...transport.Server) *Process {
 	return &Process{app: kratos.New(
 		kratos.Name(name),
@@ -26,7 +26,7 @@
 	)}
 }
 
-// Process is one process. Make one with New.
+// Process is a set of servers that start and stop together. Create it with New.
 type Process struct {
 	app *kratos.App
 }
@@ -40,7 +40,7 @@
 	return trace.Wrap(err)
 }
 
-// Stop drains the process and ends Run.
+// Stop drains the process and makes Run return.
 func (p *Process) Stop() error {
 	return trace.Wrap(p.app.Stop())
 }
--- a/adapter/servicehttp/client.go
+++ b/adapter/servicehttp/client.go
@@ -1,4 +1,5 @@
-// Package servicehttp reaches a plain service over HTTP.
+// Package servicehttp is the HTTP client for a plain service; its Client implements
+// service.Service.
 package servicehttp
 
 import (
@@ -14,12 +15,12 @@
 	"github.com/grademill/grademill/port/service"
 )
 
-// maxReply bounds the body of an answer.
+// maxReply is the maximum number of bytes read from a response body.
 const maxReply = 1 << 20
 
-// Client is a service.Service. Set Base before the first use.
+// Client is a service.Service over HTTP. Set Base before the first use.
 type Client struct {
-	// Base is the service's address, such as "http://127.0.0.1:8000".
+	// Base is the service's base URL, such as "http://127.0.0.1:8000".
 	Base string
 
 	http http.Client
@@ -27,8 +28,8 @@
 
 var _ service.Service = (*Client)(nil)
 
-// Do implements service.Service. The request is never sent twice: it has no
-// GetBody, so the HTTP client cannot repeat it on a broken connection.
+// Do implements service.Service. It never sends the request twice: the request has no GetBody,
+// so the HTTP client cannot repeat it after a broken connection.
 func (c *Client) Do(ctx context.Context, r service.Request) (service.Reply, error) {
 	body := struct{ io.Reader }{bytes.NewReader(r.Body)}
 	request, err := http.NewRequestWithContext(ctx, r.Method, c.Base+r.Path, body)
@@ -44,7 +45,7 @@
 	}
 	answer, err := c.http.Do(request)
 	if err != nil {
-		return service.Reply{}, sorted(err)
+		return service.Reply{}, sendError(err)
 	}
 	defer answer.Body.Close() //nolint:errcheck // nothing to save
 	text, err := io.ReadAll(io.LimitReader(answer.Body, maxReply))
@@ -54,8 +55,9 @@
 	return service.Reply{Status: answer.StatusCode, Body: text, ContentType: answer.Header.Get("Content-Type")}, nil
 }
 
-// sorted marks errors of the dial, before which nothing was sent.
-func sorted(err error) error {
+// sendError returns a service.UnsentError for a failed dial, after which nothing was sent, and
+// the error itself otherwise.
+func sendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return trace.Wrap(&service.UnsentError{Err: err})
