--- a/adapter/link/set.go
+++ b/adapter/link/set.go
@@ -182,7 +182,7 @@
 	p.connected = true
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	defer conn.Close() //nolint:errcheck // the returned error is the cause
+	defer conn.Close() //nolint:errcheck // the cause is what broke it
 	if _, err := conn.Write([]byte{Protocol}); err != nil {
 		return err
 	}
