--- a/adapter/probe/prober_test.go
+++ b/adapter/probe/prober_test.go
@@ -79,8 +79,8 @@
 
 // Report implements runner.Control.
 func (s delayed) Report(ctx context.Context, address string) (runner.Report, error) {
-	took, lives := s.delays[address]
-	if !lives {
+	took, answers := s.delays[address]
+	if !answers {
 		took = time.Hour
 	}
 	select {
@@ -96,16 +96,16 @@
 // 136 endpoints silent in ten seconds, 104 of which answered again at once, and moved 620
 // streams away from them.
 func TestSilentEndpointIsComparedWithAnother(t *testing.T) {
-	const quick, choked = 4 * time.Millisecond, 200 * time.Millisecond
+	const quick, congested = 4 * time.Millisecond, 200 * time.Millisecond
 	for name, c := range map[string]struct {
 		delays map[string]time.Duration
 		want   error
 	}{
 		"reference answers": {map[string]time.Duration{"other": quick}, errSilent},
-		"neither in time":   {map[string]time.Duration{"other": choked, "endpoint": choked}, probe.ErrHeldUp},
+		"neither in time":   {map[string]time.Duration{"other": congested, "endpoint": congested}, probe.ErrHeldUp},
 		"endpoint answers":  {map[string]time.Duration{"other": quick, "endpoint": 75 * time.Millisecond}, nil},
 		"nothing answers":   {map[string]time.Duration{}, probe.ErrHeldUp},
-		"slow endpoint":     {map[string]time.Duration{"other": quick, "endpoint": choked}, errSilent},
+		"slow endpoint":     {map[string]time.Duration{"other": quick, "endpoint": congested}, errSilent},
 		"quick endpoint":    {map[string]time.Duration{"endpoint": quick}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/adapter/upstream/pool_test.go
+++ b/adapter/upstream/pool_test.go
@@ -100,7 +100,7 @@
 	require.EqualValues(t, 1, s.conns.Load())
 }
 
-// A connection must not be reused after a response that leaves its state in doubt.
+// A connection must not be reused after a response that leaves its state uncertain.
 func TestUncertainConnectionsAreNotReused(t *testing.T) {
 	cases := []struct{ name, answer string }{
 		{"closing", "HTTP/1.1 200 OK\r\nId: mine\r\nConnection: close\r\nContent-Length: 5\r\n\r\nwhole"},
