--- a/decide/spread/ease.go
+++ b/decide/spread/ease.go
@@ -6,11 +6,12 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// minMoveGain is the smallest rise in value that justifies moving a card: half the share of one
-// card in a group of a dozen. The threshold lets successive plans converge.
+// minMoveGain is the smallest rise in value that justifies moving a card: about half of one
+// card's part of the value in a group of a dozen. The threshold lets successive plans converge.
 const minMoveGain = 0.05
 
-// rebalance returns one move that improves a group without uncovered layers while it serves. A
+// rebalance returns one move that improves a group in which all layers are covered: the index of
+// the card and its new range, or false if there is none. The group goes on serving meanwhile. A
 // card filled beyond its planned share gives up layers at its ends that others hold as well; an
 // unused card whose layers others hold moves to where its value is higher. Nothing moves while
 // any card of the group is still loading.
--- a/decide/spread/floor.go
+++ b/decide/spread/floor.go
@@ -13,8 +13,8 @@
 const holderDiscount = 8
 
 // maxSlotScarcity bounds the scarcity of request slots at the first layer. It is far below
-// holderDiscount, so that no layer goes with fewer holders than the first for the sake of
-// slots.
+// holderDiscount, so that a lack of slots never gives the first layer another holder while other
+// layers have fewer.
 const maxSlotScarcity = 2
 
 // coverage is the state of a group of cards: how many of them hold each layer, and their
@@ -25,8 +25,8 @@
 	cards   []Card
 	// copies is the number of holders of each layer.
 	copies []int
-	// supply is the number of tokens for which the holders of each layer have room, counting no
-	// card as emptier than the planned fill.
+	// supply is the number of tokens for which the holders of each layer have room. A card that
+	// holds fewer layers than planned counts as filled to the planned share.
 	supply []float64
 	// fastest is the lowest catalog.Card Pace among the holders of each layer, 0 without
 	// holders.
@@ -64,7 +64,8 @@
 	}
 }
 
-// tokenCapacity returns the number of tokens for which a card has room.
+// tokenCapacity returns the number of tokens for which a card has room once it holds at least
+// the planned number of layers.
 func (cov *coverage) tokenCapacity(c Card) float64 {
 	return float64(max(cov.model.Room(cov.model.Cards[c.Kind], max(c.Holds.Len(), cov.planner.targetLayers(cov.model, c))), 0))
 }
@@ -112,10 +113,10 @@
 	return layer.Range{First: at, End: at + targetLayers}
 }
 
-// value returns the benefit of another card that holds a range. It is the sum of two shares:
-// the cards whose loss would no longer uncover layers, weighted by the scarcity of their
-// capacity, and the time of a token that a faster card saves. The slots of the first layer's
-// holders count as one more layer: without this, three halls of 59 cards got three first
+// value returns the benefit of another card that holds a range. It is the sum of two fractions:
+// that of the group's cards whose loss would no longer uncover layers, weighted by the scarcity of
+// their capacity, and that of the time per token that a faster card saves. The slots of the first
+// layer's holders count as one more layer: without this, three halls of 59 cards got three first
 // endpoints and served 83 instead of all 272 requests per second in time.
 func (cov *coverage) value(c Card, r layer.Range) float64 {
 	pace := cov.model.Cards[c.Kind].Pace
@@ -141,8 +142,8 @@
 	return resilience/float64(len(cov.cards)) + speedup/time
 }
 
-// extend returns a range extended, up to a size, over adjacent layers that only slower cards
-// hold, so that a fast card that returns replaces the slow cards that took its layers over.
+// extend grows a range to at most size layers, over adjacent layers that only slower cards hold,
+// so that a fast card that returns takes its layers back from the slow cards that replaced it.
 func (cov *coverage) extend(c Card, r layer.Range, size int) layer.Range {
 	slower := func(l int) bool {
 		return l >= 0 && l < cov.model.Layers && cov.fastest[l] > cov.model.Cards[c.Kind].Pace
--- a/decide/spread/place.go
+++ b/decide/spread/place.go
@@ -10,8 +10,7 @@
 
 // Covering missing layers may fill cards beyond the planner's Fill, in steps of coverFillStep
 // up to maxCoverFill: room for a few requests is worth more than a group without a complete
-// chain. Each step costs as much as loading fillStepCost layers, for the room that it takes
-// from requests.
+// chain. Each step counts as loading fillStepCost layers, because it takes room from requests.
 const (
 	coverFillStep = 0.04
 	maxCoverFill  = 0.88
--- a/decide/spread/spread.go
+++ b/decide/spread/spread.go
@@ -40,9 +40,9 @@
 
 // DefaultFill gives each hall one copy of a model and a third of a second one. A lower fill
 // leaves more room for requests; a higher one leaves fewer cards whose loss uncovers layers. On
-// days with failures, halls of the smallest cards served 0.604 of the requests' value with 0.6
-// and 0.619 with 0.66; with an earlier planner, 0.574 with 0.73 and 0.555 with 0.78. Two fleets
-// of larger cards served 0.784 and 0.789 with 0.6, and 0.784 and 0.782 with 0.66.
+// days with failures, halls of the smallest cards served 0.604 of the total value of all requests
+// at a fill of 0.6 and 0.619 at 0.66; an earlier planner served 0.574 at 0.73 and 0.555 at 0.78.
+// Two fleets of larger cards served 0.784 and 0.789 at 0.6, and 0.784 and 0.782 at 0.66.
 const DefaultFill = 0.66
 
 // maxFill is the largest fraction of a card's memory that layers may take.
--- a/decide/spread/tiling.go
+++ b/decide/spread/tiling.go
@@ -10,7 +10,7 @@
 // fail or be late.
 const moveCost = 2
 
-// tiling finds contiguous ranges for cards that cover all layers with the fewest loads. The
+// tiling finds contiguous ranges for cards that cover all layers at the least cost of loading. The
 // cards are in the order of their layers, and each may be left out.
 type tiling struct {
 	layers int
