--- a/decide/throttle/throttle.go
+++ b/decide/throttle/throttle.go
@@ -15,9 +15,9 @@
 	// MaxRest bounds the backoff period in effect. An endpoint that needs longer shuts down, and a
 	// Retry-After of a year, sent by mistake, must not exclude it.
 	MaxRest = 5 * time.Minute
-	// BurstSpan is the period over which a gateway accumulates its unused share of a limit. It is
-	// short compared with the seconds over which endpoints count, and always admits at least one
-	// request.
+	// BurstSpan is the period over which a gateway accumulates its unused share of a limit, and
+	// always at least one request. It is short compared with the seconds over which endpoints
+	// count requests.
 	BurstSpan = time.Second
 	// resumeSpread is the time over which the gateways stop enforcing a withdrawn limit, each at a
 	// random time, so that they do not overload the endpoint again.
@@ -209,8 +209,8 @@
 }
 
 // Claim returns the demand that counts towards this gateway's share at now. It is 0 until the
-// demand has lasted for the time settle, by which the gateways know each other's demand. Otherwise
-// each of several gateways whose demand begins together would take itself for the only one.
+// demand has lasted for the time settle, after which the gateways know each other's demand.
+// Otherwise each of several gateways whose demand begins together would claim the limit alone.
 func (t Throttle) Claim(now time.Time, settle time.Duration) float64 {
 	if now.Sub(t.demandSince) < settle {
 		return 0
@@ -218,7 +218,8 @@
 	return t.Demand(now)
 }
 
-// Tells reports whether this gateway reports the limit to its peers at now.
+// Tells reports whether this gateway should report the limit, or its withdrawal, to its peers at
+// now.
 func (t Throttle) Tells(now time.Time) bool {
 	return t.Named() || !t.limit.At.IsZero() && now.Sub(t.limit.At) < withdrawalReportSpan
 }
--- a/decide/throttle/throttle_test.go
+++ b/decide/throttle/throttle_test.go
@@ -16,8 +16,8 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// report returns an answer received at a time, to a request sent 100 ms before.
-func report(seconds float64, w throttle.Word) throttle.Word {
+// answer returns an answer received at a time, to a request sent 100 ms before.
+func answer(seconds float64, w throttle.Word) throttle.Word {
 	w.Sent, w.Heard = at(seconds-0.1), at(seconds)
 	return w
 }
@@ -35,9 +35,9 @@
 }
 
 func TestLimitIsEnforced(t *testing.T) {
-	named := throttle.Throttle{}.WithWord(report(0, throttle.Word{Limit: 4}), 0)
-	assert.Equal(t, throttle.Limited, named.Held(at(1)), "no request is admitted before the share is computed")
-	shared := named.WithShare(2, at(0))
+	limited := throttle.Throttle{}.WithWord(answer(0, throttle.Word{Limit: 4}), 0)
+	assert.Equal(t, throttle.Limited, limited.Held(at(1)), "no request is admitted before the share is computed")
+	shared := limited.WithShare(2, at(0))
 	_, n := countSent(shared, 0, 10)
 	assert.Equal(t, 19, n, "the gateway's share, with no tokens at the start")
 	_, n = countSent(shared, 100, 100.1)
@@ -50,30 +50,30 @@
 }
 
 func TestLimitIsWithdrawn(t *testing.T) {
-	named := throttle.Throttle{}.WithWord(report(0, throttle.Word{Limit: 4}), 0).WithShare(1, at(0))
+	limited := throttle.Throttle{}.WithWord(answer(0, throttle.Word{Limit: 4}), 0).WithShare(1, at(0))
 	for _, c := range []struct {
-		name      string
-		report    throttle.Word
-		wantNamed bool
+		name        string
+		answer      throttle.Word
+		wantLimited bool
 	}{
 		{"an answer to a request sent before the limit was known", throttle.Word{Sent: at(-0.1), Heard: at(0.2)}, true},
 		{"an answer to a later request", throttle.Word{Sent: at(0.1), Heard: at(0.2)}, false},
 		{"a later answer with an unreadable header", throttle.Word{Sent: at(0.1), Heard: at(0.2), Unclear: "Server-Limit: x"}, true},
 		{"another limit", throttle.Word{Limit: 5, Sent: at(0.1), Heard: at(0.2)}, true},
 	} {
-		assert.Equal(t, c.wantNamed, named.WithWord(c.report, 0).Named(), c.name)
+		assert.Equal(t, c.wantLimited, limited.WithWord(c.answer, 0).Named(), c.name)
 	}
-	ended := named.WithWord(throttle.Word{Sent: at(3), Heard: at(3.1)}, 0.5)
-	assert.Equal(t, throttle.Limited, ended.WithRequest(at(3.2)).WithRequest(at(3.2)).Held(at(3.9)), "the limit is enforced until resumesAt")
-	assert.Equal(t, throttle.Free, ended.WithRequest(at(4.2)).WithRequest(at(4.2)).Held(at(4.2)))
-	late := ended.WithLimit(throttle.Limit{Rate: 4, At: at(2), Relays: 1}, at(5), 0)
+	withdrawn := limited.WithWord(throttle.Word{Sent: at(3), Heard: at(3.1)}, 0.5)
+	assert.Equal(t, throttle.Limited, withdrawn.WithRequest(at(3.2)).WithRequest(at(3.2)).Held(at(3.9)), "the limit is enforced until resumesAt")
+	assert.Equal(t, throttle.Free, withdrawn.WithRequest(at(4.2)).WithRequest(at(4.2)).Held(at(4.2)))
+	late := withdrawn.WithLimit(throttle.Limit{Rate: 4, At: at(2), Relays: 1}, at(5), 0)
 	assert.False(t, late.Named(), "a delayed report of a limit from before its withdrawal")
-	assert.True(t, ended.Tells(at(4)), "peers are told of the withdrawal")
-	assert.False(t, ended.Tells(at(10)))
+	assert.True(t, withdrawn.Tells(at(4)), "peers are told of the withdrawal")
+	assert.False(t, withdrawn.Tells(at(10)))
 }
 
 func TestBackoffPeriodIsEnforced(t *testing.T) {
-	asked := throttle.Throttle{}.WithWord(report(0, throttle.Word{Rest: 3 * time.Second}), 1)
+	asked := throttle.Throttle{}.WithWord(answer(0, throttle.Word{Rest: 3 * time.Second}), 1)
 	assert.Equal(t, throttle.Resting, asked.Held(at(3.5)), "jitter extends the backoff period")
 	from, known := asked.From(at(1))
 	assert.True(t, known)
@@ -84,24 +84,24 @@
 	assert.Equal(t, 1, n, "another one is sent if the first stays unanswered")
 	early := trial.WithWord(throttle.Word{Sent: at(-0.1), Heard: at(4)}, 0)
 	assert.Equal(t, throttle.Resting, early.Held(at(4)), "an answer to a request sent before the backoff period does not end it")
-	assert.Equal(t, throttle.Free, trial.WithWord(report(4, throttle.Word{}), 0).Held(at(4)))
-	again := trial.WithWord(report(4, throttle.Word{Rest: time.Second}), 0)
+	assert.Equal(t, throttle.Free, trial.WithWord(answer(4, throttle.Word{}), 0).Held(at(4)))
+	again := trial.WithWord(answer(4, throttle.Word{Rest: time.Second}), 0)
 	assert.Equal(t, throttle.Resting, again.Held(at(4.9)))
 	assert.Equal(t, throttle.Free, again.Held(at(5)))
 }
 
 func TestLeavingIsFinal(t *testing.T) {
-	left := throttle.Throttle{}.WithWord(report(0, throttle.Word{Leaving: true}), 0).WithWord(report(1, throttle.Word{}), 0)
+	left := throttle.Throttle{}.WithWord(answer(0, throttle.Word{Leaving: true}), 0).WithWord(answer(1, throttle.Word{}), 0)
 	assert.Equal(t, throttle.Leaving, left.Held(at(100)))
 	_, known := left.From(at(100))
 	assert.False(t, known)
 }
 
-func TestDemandIsCountedWhileALimitIsNamed(t *testing.T) {
-	named := throttle.Throttle{}.WithWord(report(0, throttle.Word{Limit: 4}), 0)
+func TestDemandIsCountedWhileALimitIsStated(t *testing.T) {
+	limited := throttle.Throttle{}.WithWord(answer(0, throttle.Word{Limit: 4}), 0)
 	for s := 0.0; s < 5; s += 0.1 {
-		named = named.WithDemand(at(s))
+		limited = limited.WithDemand(at(s))
 	}
-	assert.InDelta(t, 10, named.Demand(at(5)), 1)
-	assert.Zero(t, named.WithWord(report(6, throttle.Word{}), 0).Demand(at(6)))
+	assert.InDelta(t, 10, limited.Demand(at(5)), 1)
+	assert.Zero(t, limited.WithWord(answer(6, throttle.Word{}), 0).Demand(at(6)))
 }
