--- a/decide/apportion/division.go
+++ b/decide/apportion/division.go
@@ -32,12 +32,13 @@
 
 // Division is one gateway's view of a limit and of the gateways that share it.
 type Division struct {
-	// Key identifies the limit's subject. Which gateways have no share depends on it.
+	// Key identifies what is limited, such as an endpoint. It determines which gateways go without
+	// a share.
 	Key string
 	// Limit is in requests per second.
 	Limit float64
-	// Fleet is the number of gateways, Own included. Gateways without a report keep an even share,
-	// because they may be cut off from this gateway alone.
+	// Fleet is the number of gateways, Own included. An even share is set aside for each gateway
+	// without a report, because it may be cut off from this gateway alone.
 	Fleet int
 	// Own is this gateway's claim, Near holds those of the gateways that report to it one by one,
 	// and Far those of other halls.
--- a/decide/apportion/division_test.go
+++ b/decide/apportion/division_test.go
@@ -188,8 +188,8 @@
 	return excess
 }
 
-// Divides the limit evenly and by demand. Both must keep the limit. Division by demand must use
-// more of it if demand is uneven.
+// Both an even division and one by demand must keep the limit. Division by demand must use at least
+// minUtilization of it, however uneven the demand is.
 func TestGatewaysTogetherKeepTheLimit(t *testing.T) {
 	all := func(perSecond float64) func(int) float64 {
 		return func(int) float64 { return perSecond }
