--- a/decide/overlay/overlay.go
+++ b/decide/overlay/overlay.go
@@ -29,7 +29,7 @@
 	// Heard is set while digests arrive from the gateway itself, and not only reports of it by
 	// others.
 	Heard bool
-	// Cut is set while the store does not answer the gateway, by its own last report.
+	// Cut is set while the store does not answer the gateway, according to its own last report.
 	Cut bool
 	// LinkMegabits is the link capacity of the gateway's host in Mbit/s, 0 when unknown.
 	LinkMegabits uint32
@@ -112,8 +112,8 @@
 }
 
 // relaysPerHall is the number of gateways of a hall that take turns in passing on the sums of
-// another hall. One alone may have ended without the others' knowledge, until its announcement
-// is removed.
+// another hall. A single one may have ended unnoticed, and would be used until its announcement is
+// removed.
 const relaysPerHall = 3
 
 // Relay returns the gateway of another hall that passes this hall's sums on there in the given
@@ -129,17 +129,17 @@
 	// storeReaderCount is the number of gateways that always ask: a single one may be slow or
 	// end.
 	storeReaderCount = 2
-	// standbyCount is the number of gateways that ask while those have no answer. The others do
-	// not, so that a store that answers late is not asked by the whole fleet.
+	// standbyCount is the number of gateways that ask while the store readers have no answer. The
+	// others do not, so that the whole fleet does not query a store that answers late.
 	standbyCount = 2
 )
 
 // storeKey is the rendezvous key that ranks gateways for asking the store.
 const storeKey = "store"
 
-// Seats returns the gateways of this one's hall that ask the store for changes and that this
-// one asks instead, or none when this one must ask the store itself. Half of a hall's gateways
-// get them in reverse order, which spreads the load.
+// Seats returns the gateways of this one's hall that ask the store for changes, so that this one
+// asks them instead of the store. It returns none when this one must ask the store itself. Half of
+// a hall's gateways get them in reverse order, which spreads the load.
 func (o Overlay) Seats() []Member {
 	list, rank := o.storeRanking()
 	if rank < storeReaderCount {
@@ -171,14 +171,14 @@
 		return nil, 0
 	}
 	live := o.live(o.Self.Hall)
-	able := slices.DeleteFunc(slices.Clone(live), func(m Member) bool { return m.Cut })
-	if o.Self.Cut && len(able) > 0 {
-		return ranking(storeKey, able), storeReaderCount + standbyCount
+	connected := slices.DeleteFunc(slices.Clone(live), func(m Member) bool { return m.Cut })
+	if o.Self.Cut && len(connected) > 0 {
+		return ranking(storeKey, connected), storeReaderCount + standbyCount
 	}
-	if len(able) == 0 && o.Self.Cut { // the store is down: not all gateways may ask it once it is back
-		able = live
+	if len(connected) == 0 && o.Self.Cut { // the store is down: rank all, or all would ask it once it is back
+		connected = live
 	}
-	list := ranking(storeKey, append(able, o.Self))
+	list := ranking(storeKey, append(connected, o.Self))
 	rank := o.position(list)
 	return slices.Delete(list, rank, rank+1), rank
 }
@@ -188,8 +188,8 @@
 	return slices.IndexFunc(list, func(m Member) bool { return m.Name == o.Self.Name })
 }
 
-// Rank returns the number of gateways before this one in taking care of an item of a hall, such
-// as an endpoint. The gateways of that hall come first.
+// Rank returns the number of gateways that are responsible before this one for an item of a hall,
+// such as an endpoint. The gateways of that hall come first.
 func (o Overlay) Rank(key, hall string) int {
 	inHall := o.live(hall)
 	if hall == o.Self.Hall {
@@ -217,8 +217,8 @@
 	return o.Turn(cleanKey) == 0
 }
 
-// keeperCount is the number of gateways that keep count of one key: some may have ended without
-// the others' knowledge, or be cut off.
+// keeperCount is the number of gateways that keep count of one key: some may have ended unnoticed
+// or be unreachable.
 const keeperCount = 5
 
 // Keepers returns the gateways, possibly including this one, that keep count of a key for the
--- a/decide/overlay/overlay_test.go
+++ b/decide/overlay/overlay_test.go
@@ -191,8 +191,8 @@
 	}
 }
 
-// Gateways with the same list of members name the same keepers, from all halls, and every
-// gateway of a small fleet.
+// Gateways with the same list of members choose the same keepers. In a small fleet every gateway
+// is one.
 func TestKeepersAreTheSameForAll(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{1, 3, 5, 60} {
@@ -200,16 +200,16 @@
 		for i := range all {
 			all[i] = overlay.Member{Name: fmt.Sprint("gateway-", i), Hall: fmt.Sprint("hall-", i%3)}
 		}
-		var named []overlay.Member
+		var chosen []overlay.Member
 		for i, self := range all {
 			others := slices.Delete(slices.Clone(all), i, i+1)
 			keepers := overlay.Overlay{Self: self, Others: others}.Keepers("key")
 			if i == 0 {
-				named = keepers
+				chosen = keepers
 			}
-			require.Equal(t, named, keepers)
+			require.Equal(t, chosen, keepers)
 		}
-		require.Len(t, named, min(size, 5))
+		require.Len(t, chosen, min(size, 5))
 	}
 }
 
@@ -226,8 +226,8 @@
 	return list
 }
 
-// A host with a slow link does no work for many others while its hall has fast links: the
-// changes of a configuration for 93 others saturated such a link for seconds.
+// A host with a slow link does no work for many others while its hall has fast links: sending a
+// changed configuration to 93 others saturated such a link for seconds.
 func TestSlowLinksGetNoSharedWork(t *testing.T) {
 	t.Parallel()
 	for _, size := range []struct{ halls, fast, each int }{{5, 3, 19}, {5, 14, 94}, {5, 25, 200}} {
--- a/decide/overlay/strength.go
+++ b/decide/overlay/strength.go
@@ -13,7 +13,7 @@
 	// fastest 1/fastDivisor of all, but at least minFast, so that work never depends on a
 	// single gateway.
 	fastDivisor, minFast = 8, 2
-	// fastTolerance is the factor by which a fast link may be slower than theirs.
+	// fastTolerance is the factor by which a fast link may be slower than the slowest of these.
 	fastTolerance = 2
 )
 
@@ -49,13 +49,13 @@
 
 // byKey returns gateways in rendezvous order for a key.
 func byKey(key string, list []Member) []Member {
-	named := make(map[string]Member, len(list))
+	byName := make(map[string]Member, len(list))
 	for _, m := range list {
-		named[m.Name] = m
+		byName[m.Name] = m
 	}
 	ordered := make([]Member, 0, len(list))
 	for _, name := range rendezvous.Top(key, namesOf(list), len(list)) {
-		ordered = append(ordered, named[name])
+		ordered = append(ordered, byName[name])
 	}
 	return ordered
 }
