--- a/decide/chain/finder.go
+++ b/decide/chain/finder.go
@@ -37,8 +37,8 @@
 
 	boundaries []int
 	// cost and from have a row for each boundary and a column for each holder: the least cost
-	// of a chain up to the boundary that ends at the holder, and the holder before that
-	// boundary.
+	// of a chain up to the boundary that ends at the holder, and the holder that runs the layers
+	// before the previous boundary.
 	cost         []float64
 	from         []int16
 	cheapestEnds []int16
@@ -46,7 +46,7 @@
 
 // Find returns the cheapest chain of holders, and false when none of at most MaxParts covers
 // all layers. Where the cheapest chain would return to a holder, that holder runs the layers
-// between as well, since engines accept an endpoint only once.
+// between as well, since engines accept each endpoint only once in a chain.
 func (f *Finder) Find(holders []Holder) (Chain, bool) {
 	f.collectBoundaries(holders)
 	if len(f.boundaries) < 2 || f.boundaries[0] != 0 || f.boundaries[len(f.boundaries)-1] != f.Layers {
