--- a/decide/isolation/plan.go
+++ b/decide/isolation/plan.go
@@ -9,8 +9,8 @@
 	"github.com/grademill/grademill/decide/rendezvous"
 )
 
-// reservedDivisor limits the reserved endpoints to one in reservedDivisor. The others serve all
-// other requests.
+// reservedDivisor bounds the assigned endpoints: at most one in reservedDivisor, but at least one,
+// is assigned to a suspect. The others serve all other requests.
 const reservedDivisor = 3
 
 // Plan assigns endpoints to suspects. Gateways that know the same suspects and endpoints compute
--- a/decide/isolation/spared.go
+++ b/decide/isolation/spared.go
@@ -11,9 +11,9 @@
 }
 
 // Spared returns the endpoints at which a chain can start and whose loss leaves no layers
-// uncovered: those without which their hall still holds all of its layers. If there are none, it
-// returns those without which the other endpoints of all halls still hold all layers that any
-// endpoint holds. Without the only holder of a layer no request could be served.
+// uncovered: those whose layers are all held by other endpoints of their hall as well. If there
+// are none, it returns those whose layers are all held by other endpoints of any hall. Without the
+// only holder of a layer no request could be served.
 func Spared(holders []Holder) []string {
 	halls, all := make(map[string]counts), counts{}
 	for _, h := range holders {
