--- a/decide/comeback/book.go
+++ b/decide/comeback/book.go
@@ -27,10 +27,10 @@
 type Load struct {
 	// Admitted is the rate of requests admitted, per second.
 	Admitted float64
-	// Lasts is the typical duration of a request, 0 if unknown. Slots found taken are usually still
-	// taken a moment later: of callers told to retry after the duration, 8 in 1,000 were rejected
-	// again, of those told to retry after half a second 19 (smallest cards at 1.4 times their
-	// capacity).
+	// Lasts is the typical duration of a request, 0 if unknown. No delay is shorter, because a slot
+	// that is taken is usually still taken a moment later: of callers told to retry after the
+	// duration, 8 in 1,000 were rejected again; of those told to retry after half a second, 19
+	// (smallest cards at 1.4 times their capacity).
 	Lasts time.Duration
 }
 
--- a/decide/patience/learned.go
+++ b/decide/patience/learned.go
@@ -12,7 +12,8 @@
 	// callers retry after a fault unknown to this gateway.
 	outlierShare = 0.06
 	// margin is the smallest shortfall from the usual fraction at which a caller counts as a
-	// returning one: half a second of 20 s, the shortest Retry-After delay.
+	// returning one. For a timeout of 20 s it is 0.4 s, a little less than the shortest Retry-After
+	// delay of half a second.
 	margin = 0.02
 )
 
--- a/decide/urgency/urgency.go
+++ b/decide/urgency/urgency.go
@@ -7,7 +7,7 @@
 // Urgencies in ascending order.
 const (
 	// Late is a request of a returning caller while more callers return than the service has room
-	// for. Its answer is late in any case, and a request that it displaced would be late next.
+	// for. Its answer is late in any case, and a request that it displaced would be late as well.
 	Late Urgency = iota
 	// New is a request that can still be answered in time, and whose caller can retry.
 	New
