--- a/decide/reread/reread.go
+++ b/decide/reread/reread.go
@@ -22,14 +22,14 @@
 
 // Time returns how long the parts are expected to take to read a prompt that one endpoint of the
 // fastest kind with all layers would read in the time alone. The parts read in parallel, so the
-// slowest determines the result. The parameter together is the number of prompts of all gateways
+// slowest determines the result. The parameter fleetFactor is the number of prompts of all gateways
 // for each of this gateway's: after the loss of an endpoint all gateways move their streams before
 // their reports reach each other.
-func Time(parts []Part, alone time.Duration, together float64) time.Duration {
+func Time(parts []Part, alone time.Duration, fleetFactor float64) time.Duration {
 	longest := 0.0
 	for _, p := range parts {
-		// On average, half of the prompts that the stream stands for are ahead of it.
-		ahead := max((p.Own-0.5)*together+p.Others, 0.5)
+		// The stream's own prompt stands for fleetFactor prompts, on average half of them ahead of it.
+		ahead := max((p.Own-0.5)*fleetFactor+p.Others, 0.5)
 		longest = max(longest, (0.5+ahead)*p.Share*p.Slow)
 	}
 	return time.Duration(longest * float64(alone))
--- a/decide/reread/reread_test.go
+++ b/decide/reread/reread_test.go
@@ -12,10 +12,10 @@
 func TestTime(t *testing.T) {
 	const alone = 100 * time.Millisecond
 	cases := []struct {
-		name     string
-		parts    []reread.Part
-		together float64
-		want     time.Duration
+		name        string
+		parts       []reread.Part
+		fleetFactor float64
+		want        time.Duration
 	}{
 		{"nothing to read", nil, 1, 0},
 		{"alone", []reread.Part{{Own: 1, Share: 0.1, Slow: 8}}, 1, 80 * time.Millisecond},
@@ -25,7 +25,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			require.InDelta(t, c.want, reread.Time(c.parts, alone, c.together), float64(time.Millisecond))
+			require.InDelta(t, c.want, reread.Time(c.parts, alone, c.fleetFactor), float64(time.Millisecond))
 		})
 	}
 }
