--- a/decide/unseen/flow_test.go
+++ b/decide/unseen/flow_test.go
@@ -41,19 +41,19 @@
 	checks := 0
 	for now := time.Duration(0); now < span; now += checkInterval {
 		for i := range all {
-			t := &all[i]
-			t.ends = slices.DeleteFunc(t.ends, func(end time.Duration) bool { return end <= now })
+			gw := &all[i]
+			gw.ends = slices.DeleteFunc(gw.ends, func(end time.Duration) bool { return end <= now })
 			others := 0
-			for _, n := range t.reported {
+			for _, n := range gw.reported {
 				others += n
 			}
 			if random.Float64() < load*slots/gateways*float64(checkInterval)/float64(requestDuration) {
-				t.waiting = append(t.waiting, now)
+				gw.waiting = append(gw.waiting, now)
 			}
-			t.waiting = slices.DeleteFunc(t.waiting, func(arrival time.Duration) bool { return now-arrival > queueTimeout })
-			for len(t.waiting) > 0 && float64(len(t.ends))+(1+margin)*float64(others) < slots {
-				t.waiting = t.waiting[1:]
-				t.ends = append(t.ends, now+time.Duration(random.ExpFloat64()*float64(requestDuration)))
+			gw.waiting = slices.DeleteFunc(gw.waiting, func(arrival time.Duration) bool { return now-arrival > queueTimeout })
+			for len(gw.waiting) > 0 && float64(len(gw.ends))+(1+margin)*float64(others) < slots {
+				gw.waiting = gw.waiting[1:]
+				gw.ends = append(gw.ends, now+time.Duration(random.ExpFloat64()*float64(requestDuration)))
 			}
 		}
 		for i := range all {
@@ -85,7 +85,7 @@
 	margin := unseen.Flow{Told: reportInterval, Lasts: requestDuration}.Part()
 	before, _ := simulate(0)
 	after, used := simulate(margin)
-	t.Logf("over by %.1f, before %.1f; used %.3f", after, before, used)
+	t.Logf("slots overfilled by %.1f with the estimate, %.1f without; used %.3f", after, before, used)
 	require.Less(t, after, before/3)
 	require.Greater(t, used, 0.93)
 }
