--- a/decide/story/story.go
+++ b/decide/story/story.go
@@ -1,4 +1,5 @@
-// Package story reconstructs from the logs of the gateways what happened to a request and why.
+// Package story reconstructs from the logs of the gateways what happened to a request and why. A
+// Story reads the logs; Write prints the relevant lines, and Verdict returns the result.
 package story
 
 import (
--- a/decide/story/times.go
+++ b/decide/story/times.go
@@ -8,9 +8,9 @@
 
 // Times breaks down the time in which a stream was answered, and shows why an answer was late.
 type Times struct {
-	// Before is the time spent on the caller's earlier attempts, 0 unless it was taken for a
-	// returning one. Line is the time in the queue. Chain is the time from then to the first event,
-	// including abandoned attempts.
+	// Before is the time spent on the caller's earlier requests, 0 unless the gateway took it for a
+	// returning caller. Line is the time in the queue. Chain is the time from leaving the queue to
+	// the first event, including abandoned attempts.
 	Before, Line, Chain time.Duration
 	// Pause is the longest time between two events.
 	Pause time.Duration
@@ -31,8 +31,8 @@
 	if first == 0 {
 		return Times{}
 	}
-	line := l.millis("waited_ms")
-	t := Times{Line: line, Chain: max(first-line, 0), Pause: l.millis("pause_ms")}
+	queued := l.millis("waited_ms")
+	t := Times{Line: queued, Chain: max(first-queued, 0), Pause: l.millis("pause_ms")}
 	if string(l.Fields["returned"]) == "true" {
 		t.Before = l.millis("under_route_ms")
 	}
