--- a/decide/fair/queue.go
+++ b/decide/fair/queue.go
@@ -50,8 +50,8 @@
 	return sum
 }
 
-// Push adds it to the queue. If the queue is full, Push removes the item that would be served last,
-// which may be it itself, and returns that item and false. Otherwise it returns nil and true.
+// Push adds an item. If the queue is full, Push removes the item that would be served last, which
+// may be the new one, and returns that item and false. Otherwise it returns nil and true.
 func (q *Queue[T]) Push(it *Item[T]) (displaced *Item[T], ok bool) {
 	if q.Max <= 0 {
 		return it, false
@@ -104,7 +104,7 @@
 	return it
 }
 
-// Remove removes it from the queue. It reports false if the item is not queued.
+// Remove removes an item from the queue. It returns false if the item is not queued.
 func (q *Queue[T]) Remove(it *Item[T]) bool {
 	if it.index < 0 || it.index >= len(q.items) || q.items[it.index] != it {
 		return false
--- a/decide/freshness/freshness.go
+++ b/decide/freshness/freshness.go
@@ -9,7 +9,7 @@
 const (
 	// maxWatchLag is how long a watch of the store may miss changes undetected.
 	maxWatchLag = time.Second
-	// sendMargin is the time between the check of a proof and the arrival of the request at an
+	// sendMargin allows for the time from the check of a proof until the request arrives at an
 	// endpoint.
 	sendMargin = 300 * time.Millisecond
 	// readyShare is the fraction of the revocation bound up to which a gateway is ready, so that
@@ -38,8 +38,8 @@
 	return p.Revocation == 0 || age < p.maxReadyAge()
 }
 
-// Wait returns the duration of a watch request. While one is pending, the latest proof is that of
-// the request before it, so a proof reaches the age of two requests.
+// Wait returns the duration of a watch request. While one is pending, the latest proof dates from
+// the start of the request before it, so a proof becomes as old as two requests last.
 func (p Policy) Wait() time.Duration {
 	if p.Revocation == 0 {
 		return maxWait
--- a/decide/health/health.go
+++ b/decide/health/health.go
@@ -41,7 +41,8 @@
 	until time.Time
 }
 
-// with returns the streak after another fault at now. The first tolerated faults have no effect.
+// with returns the streak after another fault at now. The endpoint is not avoided for the first
+// tolerated faults.
 func (r streak) with(now time.Time, tolerated int) streak {
 	r.n++
 	if r.n > tolerated {
--- a/decide/policy/set.go
+++ b/decide/policy/set.go
@@ -27,7 +27,7 @@
 	MaxTokens    int
 }
 
-// Host holds the attributes, available to policies, of a host on which a model may be loaded.
+// Host holds the attributes of a host that are available to policies on loading models there.
 type Host struct {
 	Hall    string
 	Service string
@@ -68,7 +68,7 @@
 	return fmt.Sprintf("policies/%s: %s:%d:%d: %s", e.Policy, e.Field, e.Line, e.Column, e.Problem)
 }
 
-// costLimit bounds the cost of one evaluation.
+// costLimit bounds one evaluation, in CEL cost units.
 const costLimit = 10_000
 
 // Set holds the compiled policies of one configuration. It is immutable.
--- a/decide/policy/set_test.go
+++ b/decide/policy/set_test.go
@@ -70,11 +70,11 @@
 		field        string
 		line, column int
 	}{
-		"syntax":         {config.Policy{Match: "team =="}, "match", 1, 8},
-		"second line":    {config.Policy{Match: "true", Priority: "1 +\nfoo"}, "priority", 2, 1},
-		"unknown name":   {config.Policy{Match: "tem == 'x'"}, "match", 1, 1},
-		"wrong type":     {config.Policy{Match: "1"}, "match", 1, 1},
-		"host's in team": {config.Policy{Match: "hall == 'x'"}, "match", 1, 1},
+		"syntax":             {config.Policy{Match: "team =="}, "match", 1, 8},
+		"second line":        {config.Policy{Match: "true", Priority: "1 +\nfoo"}, "priority", 2, 1},
+		"unknown name":       {config.Policy{Match: "tem == 'x'"}, "match", 1, 1},
+		"wrong type":         {config.Policy{Match: "1"}, "match", 1, 1},
+		"a host's attribute": {config.Policy{Match: "hall == 'x'"}, "match", 1, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
