--- a/decide/apportion/division_test.go
+++ b/decide/apportion/division_test.go
@@ -47,8 +47,8 @@
 	due   time.Duration
 }
 
-// model simulates gateways in front of one endpoint.
-type model struct {
+// simulation is a fleet of gateways in front of one endpoint.
+type simulation struct {
 	nodes []*node
 	limit func(at time.Duration) float64
 	even  float64
@@ -60,9 +60,9 @@
 	sent     []time.Time
 }
 
-// newModel returns a model of n gateways with the given demands.
-func newModel(n int, demand func(i int) float64) *model {
-	m := &model{random: rand.New(rand.NewPCG(1, uint64(n))), limit: always(3.8)}
+// newSimulation returns a simulation of n gateways with the given demands.
+func newSimulation(n int, demand func(i int) float64) *simulation {
+	m := &simulation{random: rand.New(rand.NewPCG(1, uint64(n))), limit: always(3.8)}
 	for i := range n {
 		w := demand(i)
 		m.nodes = append(m.nodes, &node{
@@ -82,7 +82,7 @@
 // run returns the rate of requests that reach the endpoint, per second, and the largest number
 // within site.LimitSpan in excess of the number allowed there (negative if all spans are within
 // it).
-func (m *model) run() (goodput float64, excess int) {
+func (m *simulation) run() (goodput float64, excess int) {
 	digestInterval := m.digestInterval()
 	for at := time.Duration(0); at < duration; at += step {
 		now := epoch.Add(at)
@@ -111,12 +111,12 @@
 }
 
 // digestInterval returns the time between two digests of a gateway.
-func (m *model) digestInterval() time.Duration {
+func (m *simulation) digestInterval() time.Duration {
 	return 150 * time.Millisecond * time.Duration(max(len(m.nodes)/3, flatFleet)) / flatFleet
 }
 
 // arrivals draws the number of requests that arrive in a step.
-func (m *model) arrivals(perSecond float64) int {
+func (m *simulation) arrivals(perSecond float64) int {
 	n := 0
 	for p := m.random.ExpFloat64(); p < perSecond*step.Seconds(); p += m.random.ExpFloat64() {
 		n++
@@ -126,7 +126,7 @@
 
 // sendClaim sends a gateway's claim to the others of its hall, or to all in a flat fleet. In a
 // large fleet the first gateway of a hall also sends the hall's sum to the other halls.
-func (m *model) sendClaim(n *node, at time.Duration) {
+func (m *simulation) sendClaim(n *node, at time.Duration) {
 	own := apportion.Claim{Name: n.name, Members: 1, Wanted: n.throttle.Demand(epoch.Add(at))}
 	sum := apportion.Claim{Members: 1, Wanted: own.Wanted}
 	for _, c := range n.claims {
@@ -148,7 +148,7 @@
 	}
 }
 
-func (m *model) deliver(at time.Duration) {
+func (m *simulation) deliver(at time.Duration) {
 	for len(m.inFlight) > 0 && m.inFlight[0].due <= at {
 		m.inFlight[0].to.claims[m.inFlight[0].from] = m.inFlight[0].claim
 		m.inFlight = m.inFlight[1:]
@@ -156,7 +156,7 @@
 }
 
 // share returns a gateway's share. It drops the claims of gateways that cannot reach it.
-func (m *model) share(n *node, at time.Duration) float64 {
+func (m *simulation) share(n *node, at time.Duration) float64 {
 	d := apportion.Division{
 		Key: "endpoint", Limit: m.limit(at), Fleet: len(m.nodes), Even: m.even,
 		Own: apportion.Claim{Name: n.name, Members: 1, Wanted: n.throttle.Claim(epoch.Add(at), 2*m.digestInterval())},
@@ -177,7 +177,7 @@
 }
 
 // maxExcess returns by how much the fullest span exceeds the number allowed there.
-func (m *model) maxExcess() int {
+func (m *simulation) maxExcess() int {
 	excess, first := -site.Allowed(0), 0
 	for i, at := range m.sent {
 		for at.Sub(m.sent[first]) >= site.LimitSpan {
@@ -225,7 +225,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			runWith := func(evenShare float64) (float64, int) {
-				m := newModel(c.size, c.demand)
+				m := newSimulation(c.size, c.demand)
 				m.limit, m.even = always(c.limit), evenShare
 				return m.run()
 			}
@@ -241,28 +241,28 @@
 
 func TestLimitIsKeptWhileFleetChanges(t *testing.T) {
 	for _, size := range []int{5, 68, 430} {
-		for name, change := range map[string]func(m *model){
-			"gateways join": func(m *model) {
+		for name, change := range map[string]func(m *simulation){
+			"gateways join": func(m *simulation) {
 				for i, n := range m.nodes {
 					n.joins = time.Duration(i%7) * 3 * time.Second
 				}
 			},
-			"one gateway partitioned": func(m *model) {
+			"one gateway partitioned": func(m *simulation) {
 				m.partitioned = func(a, b *node, at time.Duration) bool {
 					return at > 10*time.Second && at < 20*time.Second && (a.name == "gateway-0") != (b.name == "gateway-0")
 				}
 			},
-			"halls partitioned": func(m *model) {
+			"halls partitioned": func(m *simulation) {
 				m.partitioned = func(a, b *node, at time.Duration) bool { return at > 10*time.Second && a.hall != b.hall }
 			},
-			"callers move": func(m *model) {
+			"callers move": func(m *simulation) {
 				for i, n := range m.nodes {
 					n.demand = func(at time.Duration) float64 {
 						return 6 * float64((int(at/(3*time.Second))+i)%2)
 					}
 				}
 			},
-			"the limit changes": func(m *model) {
+			"the limit changes": func(m *simulation) {
 				m.limit = func(at time.Duration) float64 {
 					return []float64{3.8, 5.1}[int(at/(7*time.Second))%2]
 				}
@@ -270,7 +270,7 @@
 		} {
 			t.Run(fmt.Sprint(name, " ", size), func(t *testing.T) {
 				t.Parallel()
-				m := newModel(size, func(int) float64 { return 6 })
+				m := newSimulation(size, func(int) float64 { return 6 })
 				m.even = apportion.DefaultEven
 				change(m)
 				goodput, excess := m.run()
