--- a/decide/fair/queue.go
+++ b/decide/fair/queue.go
@@ -27,11 +27,11 @@
 	// Max is the maximum number of items.
 	Max int
 
-	items   itemHeap[T]
-	clock   float64
-	finish  map[string]float64
-	counts  map[string]int
-	nextSeq uint64
+	items       itemHeap[T]
+	virtualTime float64
+	finish      map[string]float64
+	counts      map[string]int
+	nextSeq     uint64
 }
 
 // Len returns the number of queued items.
@@ -62,7 +62,7 @@
 	}
 	it.seq = q.nextSeq
 	q.nextSeq++
-	it.start = max(q.clock, q.finish[it.Team])
+	it.start = max(q.virtualTime, q.finish[it.Team])
 	q.finish[it.Team] = it.start + it.Cost/max(it.Weight, 1)
 	q.counts[it.Team]++
 	heap.Push(&q.items, it)
@@ -99,7 +99,7 @@
 		return nil
 	}
 	it := heap.Pop(&q.items).(*Item[T])
-	q.clock = max(q.clock, it.start)
+	q.virtualTime = max(q.virtualTime, it.start)
 	q.dropIdleTeams(it)
 	return it
 }
@@ -116,8 +116,8 @@
 }
 
 // dropIdleTeams updates the count of the item's team. Once the team has no queued items, it drops
-// the state of all idle teams whose share is no longer ahead of the clock, so that the queue's
-// length bounds the memory.
+// the finish times of all idle teams that the virtual time has reached, so that the queue's length
+// bounds the memory.
 func (q *Queue[T]) dropIdleTeams(it *Item[T]) {
 	q.counts[it.Team]--
 	if q.counts[it.Team] > 0 {
@@ -125,7 +125,7 @@
 	}
 	delete(q.counts, it.Team)
 	for team, finish := range q.finish {
-		if finish <= q.clock && q.counts[team] == 0 {
+		if finish <= q.virtualTime && q.counts[team] == 0 {
 			delete(q.finish, team)
 		}
 	}
