--- a/decide/once/table.go
+++ b/decide/once/table.go
@@ -12,9 +12,10 @@
 
 // Verdicts of a Table.
 const (
-	// Start means that the caller must start the call; it is the only one told so.
+	// Start means that the caller must start the call. No other caller gets this verdict while the
+	// key is held, unless the call is undone.
 	Start Verdict = iota
-	// Wait means that the call is running; the caller waits for its reply.
+	// Wait means that the call is running; the caller must wait for its reply.
 	Wait
 	// Finished means that the call has a stored reply.
 	Finished
--- a/decide/unseen/flow.go
+++ b/decide/unseen/flow.go
@@ -15,7 +15,7 @@
 // of those reported. At full capacity this fraction of the requests ends between two reports, and
 // each gateway with queued requests fills all of the freed slots. Without this estimate 8 gateways
 // filled 192 slots of first endpoints with up to 242 requests, and the excess waited there for 0.3
-// to 0.5 s (mixed cards at 3.2 times their capacity). In the test's model they overfill the slots
+// to 0.5 s (mixed cards at 3.2 times their capacity). In the test's simulation they overfill the slots
 // by 1.2 on average without it and by 0.1 with it, and use 0.96 of them.
 func (f Flow) Part() float64 {
 	if f.Lasts <= 0 {
