--- a/decide/overlay/overlay_test.go
+++ b/decide/overlay/overlay_test.go
@@ -191,8 +191,8 @@
 	}
 }
 
-// Gateways with the same list of members choose the same keepers. In a small fleet every gateway
-// is one.
+// Gateways with the same list of members choose the same keepers, from all halls. In a small fleet
+// every gateway is one.
 func TestKeepersAreTheSameForAll(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{1, 3, 5, 60} {
