--- a/state/watchcache/cache.go
+++ b/state/watchcache/cache.go
@@ -64,17 +64,17 @@
 
 // ErrRefused reports that another gateway received a request and declined to answer it. The errors
 // below wrap it; the requester turns to another gateway or to the store.
-var ErrRefused = errors.New("the request is refused")
+var ErrRefused = errors.New("the question is refused")
 
 // The reasons for which a gateway refuses a request.
 var (
 	// ErrIndirect reports that the gateway does not query the store itself, or that the store has
 	// not answered it. Relaying such proofs would let their ages add up without bound.
-	ErrIndirect = fmt.Errorf("%w: this gateway does not get its changes from the store", ErrRefused)
+	ErrIndirect = fmt.Errorf("%w: this gateway does not have its changes from the store", ErrRefused)
 	// ErrForgotten reports a revision older than the retained changes.
-	ErrForgotten = fmt.Errorf("%w: the changes since the revision are no longer retained", ErrRefused)
+	ErrForgotten = fmt.Errorf("%w: the changes since then are no longer kept", ErrRefused)
 	// ErrNoNews reports that no newer proof arrived within the wait.
-	ErrNoNews = fmt.Errorf("%w: no newer freshness proof arrived in time", ErrRefused)
+	ErrNoNews = fmt.Errorf("%w: there was no newer proof in time", ErrRefused)
 )
 
 // Cache holds the recent changes of the store that a gateway knows. The zero Cache is empty.
