--- a/state/watchcache/cache.go
+++ b/state/watchcache/cache.go
@@ -2,8 +2,8 @@
 // the store.
 //
 // A gateway that queries the store puts the newest changes and the time of its freshness proof
-// into a Cache. The others query that gateway through a Feed, and add the age of its proof to the
-// time at which they sent their own request.
+// into a Cache. The others query that gateway through a Feed. They take as the time of their proof
+// the time at which they sent their request, less the age of the proof in the answer.
 package watchcache
 
 import (
@@ -21,9 +21,10 @@
 // cache never holds more than the store. A gateway that needs an older change reads everything
 // again.
 const (
-	// minRetention is how long a change is retained regardless of its size; it is longer than a
-	// request of another gateway is delayed. With a bound in bytes alone, a large fleet exceeds it
-	// within a second when it starts or is configured, and every gateway reads the store again.
+	// minRetention is how long a change is retained regardless of its size. It exceeds the delay
+	// of requests from other gateways. With a bound in bytes alone, the changes of a large fleet
+	// that starts or is configured exceed the bound within a second, and every gateway reads the
+	// whole store again.
 	minRetention = 6 * time.Second
 	// maxBytes is the size beyond which changes older than minRetention are dropped.
 	maxBytes = 128 << 10
@@ -32,8 +33,8 @@
 // pairOverhead is the memory in bytes that a pair takes in addition to its key and value.
 const pairOverhead = 64
 
-// minGain is how much newer than the requester's proof the own proof must be for an immediate
-// answer. Otherwise the request waits for the next proof.
+// minGain is how much newer this gateway's proof must be than the requester's for an immediate
+// answer without changes. Otherwise the request waits for the next proof or change.
 const minGain = 150 * time.Millisecond
 
 // Question is a request of one gateway to another for changes and a newer freshness proof.
@@ -57,8 +58,8 @@
 	Age time.Duration
 	// Sum is the checksum of the replica at the revision, 0 if unknown.
 	Sum uint64
-	// Held is how long the request waited. The answer's proof is therefore at most Age less Held
-	// older than the time at which the request was sent, whatever the network delay.
+	// Held is how long the request waited. Whatever the network delay, the time of the answer's
+	// proof is at most Age less Held before the time at which the request was sent.
 	Held time.Duration
 }
 
@@ -92,8 +93,8 @@
 	// that revision, 0 if unknown.
 	at  uint64
 	sum uint64
-	// proven is the time up to which all writes are certainly known. direct is set while the proof
-	// comes from the store itself.
+	// proven is the time up to which all writes are known for certain. direct is set while this
+	// proof comes from the store itself.
 	proven time.Time
 	direct bool
 	// changed is closed at the next change of the fields above.
@@ -110,8 +111,8 @@
 	late bool
 }
 
-// Reset replaces the content after a full read at revision at, requested at time sent. sum is the
-// checksum of the replica.
+// Reset replaces the content after a full read that was requested at time sent and is complete up
+// to revision at. sum is the checksum of the replica.
 func (c *Cache) Reset(at uint64, sent time.Time, sum uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,7 +120,8 @@
 	c.notify()
 }
 
-// Begin replaces the content after a full read at revision at that yields no freshness proof.
+// Begin replaces the content after a full read that yields no freshness proof. at is the revision
+// of its oldest page.
 func (c *Cache) Begin(at uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,7 +141,8 @@
 	c.add(page, proven, direct, false, sum)
 }
 
-// AddFound records changes found by a full read, requested at time sent, instead of by a watch.
+// AddFound records changes that were found by a full read requested at time sent, and not by a
+// watch.
 func (c *Cache) AddFound(page kv.Page, sent time.Time, sum uint64) {
 	c.add(page, sent, true, true, sum)
 }
@@ -213,8 +216,8 @@
 	}
 }
 
-// Ask answers a request: at once if there are changes or a sufficiently newer proof, otherwise as
-// soon as there are.
+// Ask answers a request of another gateway, at once if there are changes or a sufficiently newer
+// proof, and otherwise as soon as there are. It returns ErrNoNews if there are none within q.Wait.
 func (c *Cache) Ask(ctx context.Context, q Question) (Answer, error) {
 	start := c.now()
 	timer := time.NewTimer(q.Wait)
--- a/state/watchcache/feed.go
+++ b/state/watchcache/feed.go
@@ -18,33 +18,34 @@
 	// minPeerWait is the least time that another gateway gets to provide a newer proof, whatever
 	// the age of this gateway's proof: one network round trip.
 	minPeerWait = 100 * time.Millisecond
-	// fallbackInterval is the least time between two calls to the store while none of the gateways
-	// to query has an answer, so that a store that is unavailable or has just recovered does not
-	// receive requests of the whole fleet; the gateways that query it directly continue to do so.
-	// A random extra of up to the same length is added each time.
+	// fallbackInterval is the least time between two calls to the store while no other gateway has
+	// an answer. It keeps the requests of the whole fleet from a store that is unavailable or has
+	// just recovered; the gateways that always query the store continue to do so. A random extra
+	// of up to the same length is added each time.
 	fallbackInterval = 2 * time.Second
-	// compareInterval is the least time between two full reads caused by a difference to another
-	// gateway's replica: the other replica may be the incomplete one. A random extra of up to the
-	// same length is added.
+	// compareInterval is the least time between two full reads caused by a difference from another
+	// gateway's replica. It bounds their rate because the other replica may be the incomplete one.
+	// A random extra of up to the same length is added.
 	compareInterval = 10 * time.Second
-	// initialFallbackDelay is how long a gateway without any proof leaves the store to the
-	// gateways that answered it, since they may have started at the same time.
+	// initialFallbackDelay is how long a gateway that has had no proof yet leaves the store to
+	// other gateways that answered its request without a proof, since they may have started at the
+	// same time.
 	initialFallbackDelay = time.Second
-	// staleFallbackAfter is how overdue a proof must be for a gateway to query the store although
-	// the gateways meant to do so answer it; staleFallbackInterval is the least time between two
-	// such calls. The gateways of a hall may disagree on which of them query the store. A random
-	// extra of up to the same length is added to the interval.
+	// staleFallbackAfter is how overdue its proof must be for a gateway to query the store although
+	// the other gateways answer, but without a newer proof: the gateways of a hall may disagree on
+	// which of them query the store. staleFallbackInterval is the least time between two such
+	// calls. A random extra of up to the same length is added to the interval.
 	staleFallbackAfter    = 500 * time.Millisecond
 	staleFallbackInterval = 10 * time.Second
-	// overdueAfter is how long after the end of its wait a request to the store counts as overdueAfter
-	// and is repeated. A store that compacts its history leaves waiting requests unanswered; a
-	// slow one takes less time than this.
+	// overdueAfter is how long after the end of its wait a request to the store is overdue and is
+	// repeated. A store that compacts its history leaves waiting requests unanswered; one that is
+	// only slow answers within this time.
 	overdueAfter = 250 * time.Millisecond
 	// overdueRetryTimeout bounds the repeated request, which a store that compacts its history may
 	// leave unanswered as well. After it, everything is read again.
 	overdueRetryTimeout = 300 * time.Millisecond
-	// failureWindow is how long after a failed call to the store a gateway leaves querying it to
-	// others.
+	// failureWindow is how long after a failed call to the store Cut reports true, so that other
+	// gateways query the store instead.
 	failureWindow = 5 * time.Second
 )
 
@@ -82,8 +83,8 @@
 	// replica holds the known revisions, scan the full read in progress.
 	replica replica
 	scan    scan
-	// compared is when a difference to another gateway's replica last caused a full read, plus the
-	// random extra.
+	// compared is when a difference from another gateway's replica last caused a full read, plus
+	// the random extra.
 	compared time.Time
 	// silent are the gateways that recently did not answer.
 	silent silent
@@ -97,11 +98,11 @@
 	refreshed atomic.Bool
 }
 
-// errRefreshed cancels a request that waits at the store because the caller needs a new one
-// without wait.
+// errRefreshed cancels a request that waits at the store, because the caller of Refresh needs an
+// immediate answer.
 var errRefreshed = errors.New("request to the store repeated without a wait")
 
-// errOverdue cancels a request that waits at the store and whose answer is overdue.
+// errOverdue cancels a request to the store whose answer is overdue.
 var errOverdue = errors.New("answer of the store is overdue")
 
 // Refresh repeats the request that waits at the store without a wait; if none waits, the next one
@@ -157,7 +158,7 @@
 	sent time.Time
 	// stale is set if the first page may be older than the request for it.
 	stale bool
-	// first is the revision of the first page, at the lowest revision of any page.
+	// first is the revision of the first page, and at is the lowest revision of any page.
 	first, at uint64
 	pairs     []kv.Pair
 	seen      replica
@@ -177,7 +178,7 @@
 }
 
 // finishScan records a completed full read. Gateways that query this one receive the differences
-// to the previously known state, and need not read everything again.
+// from the previously known state, and need not read everything again.
 func (f *Feed) finishScan() {
 	sum := f.scan.seen.sumAt(f.scan.at)
 	switch {
@@ -249,12 +250,12 @@
 	return f.askStore(ctx, prefix, revision, 0)
 }
 
-// mayAskStore reports whether this gateway may query the store at now although other gateways are
-// meant to do so. If left is set, those answered, and the store is left to them until this
-// gateway's proof is old.
-func (f *Feed) mayAskStore(left bool, now time.Time) bool {
+// mayAskStore reports whether this gateway may query the store at now although it normally queries
+// other gateways. If leaveToOthers is set, those have answered without a newer proof, and this
+// gateway queries the store only once its own proof is overdue by staleFallbackAfter.
+func (f *Feed) mayAskStore(leaveToOthers bool, now time.Time) bool {
 	next, interval := &f.next, fallbackInterval
-	if left {
+	if leaveToOthers {
 		if f.LateIn() > -staleFallbackAfter {
 			return false
 		}
@@ -316,9 +317,9 @@
 	return page, sum
 }
 
-// askAgain queries the store without a wait. If late is set, the previous request was already
-// overdue; if this one gets no answer either, it returns a CompactedError, so that everything is
-// read again.
+// askAgain queries the store without a wait. If late is set, the previous request was overdue; if
+// this one gets no answer within overdueRetryTimeout either, askAgain returns a CompactedError, so
+// that everything is read again.
 func (f *Feed) askAgain(ctx context.Context, prefix string, revision uint64, late bool) (kv.Page, error) {
 	if !late {
 		return f.Store.Changes(ctx, prefix, revision, 0)
--- a/state/watchcache/feed_test.go
+++ b/state/watchcache/feed_test.go
@@ -21,7 +21,7 @@
 	changes kv.Page
 	err     error
 	scans   int
-	asked   int
+	asked   int // calls of Changes
 }
 
 func (s *scripted) Scan(context.Context, string, string) (kv.Page, error) {
@@ -54,8 +54,8 @@
 	return a.cache.Ask(ctx, q)
 }
 
-// When the store has compacted its history, a gateway that queries another one continues without a
-// full read: the other one sends the differences.
+// When the store has compacted its history, only the gateway that queries it needs a full read. A
+// gateway that queries the other one receives the differences from it.
 func TestCompactedHistoryNeedsNoFullReadByOthers(t *testing.T) {
 	s := &scripted{scan: kv.Page{Pairs: []kv.Pair{{Key: "a", Revision: 1}, {Key: "b", Revision: 2}}, At: 2}}
 	peer := newFeed(s, nil)
@@ -135,7 +135,7 @@
 	})
 }
 
-// A proof ages by the clock that continues while the host is suspended, also in answers to other
+// The age of a proof includes the time for which the host was suspended, also in answers to other
 // gateways.
 func TestProofAgesWhileTheHostIsSuspended(t *testing.T) {
 	t.Parallel()
@@ -268,8 +268,8 @@
 	require.Len(t, answer.Pairs, 2)
 }
 
-// The changes within the first second of a large fleet exceed the bound in bytes and are retained
-// all the same. Otherwise every gateway reads the whole store again.
+// The changes in the first second of a large fleet exceed the bound in bytes but are retained.
+// Otherwise every gateway would read the whole store again.
 func TestChangesOfLargeFleetStartAreRetained(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
@@ -306,9 +306,9 @@
 }
 
 // A gateway whose peers answer leaves the store to them even if they have no newer proof. Without
-// this, each of 469 gateways queried a store that had compacted its history and then read
+// this, when the store had compacted its history, each of 469 gateways queried it and then read
 // everything again.
-func TestFleetLeavesLateStoreToItsReaders(t *testing.T) {
+func TestFleetLeavesStoreWithoutNewerProofToItsReaders(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := new(scripted)
--- a/state/watchcache/proof_test.go
+++ b/state/watchcache/proof_test.go
@@ -49,8 +49,8 @@
 	writes  []write
 	changed chan struct{}
 	chance  *rand.Rand
-	// missing is set while watches miss changes although they report later revisions. compacted is the
-	// revision up to which the history is compacted.
+	// missing is set while watches miss changes although they report later revisions. compacted is
+	// the revision up to which the history is compacted.
 	missing   bool
 	compacted uint64
 }
@@ -200,7 +200,7 @@
 	return page, s.changed
 }
 
-// process is a gateway's copy of the store.
+// process is a gateway that keeps a copy of the store.
 type process struct {
 	s     *store
 	feed  watchcache.Feed
@@ -316,9 +316,9 @@
 	}
 }
 
-// play runs a schedule. It returns a description of the first invalid proof, empty if there is
+// runSchedule runs a schedule. It returns a description of the first invalid proof, empty if there is
 // none, and the number of proofs of the processes that query others.
-func play(t *testing.T, seed uint64, blind bool) (broken string, confirms int) {
+func runSchedule(t *testing.T, seed uint64, blind bool) (broken string, confirms int) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(seed)
 		f.from.blind = blind
@@ -345,7 +345,7 @@
 	t.Parallel()
 	confirms := 0
 	for seed := range uint64(schedules) {
-		broken, n := play(t, seed, false)
+		broken, n := runSchedule(t, seed, false)
 		require.Empty(t, broken, "seed %d", seed)
 		confirms += n
 	}
@@ -360,7 +360,7 @@
 	const blind = 1000
 	wrong := 0
 	for seed := range uint64(blind) {
-		if broken, _ := play(t, seed, true); broken != "" {
+		if broken, _ := runSchedule(t, seed, true); broken != "" {
 			wrong++
 		}
 	}
--- a/state/watchcache/replica.go
+++ b/state/watchcache/replica.go
@@ -18,7 +18,7 @@
 	newest uint64
 }
 
-// loaded reports whether a full loaded has filled the replica, or is filling it.
+// loaded reports whether a full read has filled the replica, or is filling it.
 func (r *replica) loaded() bool { return r.revisions != nil }
 
 // put records the revision of a written key. The replica must be loaded or being loaded.
@@ -37,8 +37,8 @@
 	}
 }
 
-// apply applies changes. It returns those that are new, which are all of them before the replica
-// is loaded, and the new ones together with those after a revision.
+// apply applies changes. It returns the new ones as updates, and as later those that are new or
+// have a revision above after. While the replica is not loaded, both are all changes.
 func (r *replica) apply(pairs []kv.Pair, after uint64) (updates, later []kv.Pair) {
 	if !r.loaded() {
 		return pairs, pairs
@@ -69,8 +69,8 @@
 	return true
 }
 
-// sumAt returns the checksum of the replica for a revision of the store, 0 if the replica contains
-// later changes.
+// sumAt returns the checksum of the replica for a revision of the store, 0 if the replica is not
+// loaded or contains later changes.
 func (r *replica) sumAt(revision uint64) uint64 {
 	if !r.loaded() || r.newest > revision {
 		return 0
--- a/state/watchcache/silent.go
+++ b/state/watchcache/silent.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// silentFor is how long a gateway that did not answer is queried after the others. By then,
-// digests report its end.
+// silentFor is how long a gateway that did not answer is queried last. If it has ended, the
+// digests of other gateways report so by then.
 const silentFor = 8 * time.Second
 
 // silent holds the time at which gateways failed to answer, by address. The zero silent is empty.
@@ -25,17 +25,18 @@
 	(*s)[address] = now
 }
 
-// last returns addresses in their order, but moves those that recently did not answer to the end.
+// last returns the addresses in their order, except that those that recently did not answer come
+// last.
 func (s silent) last(addresses []string, now time.Time) []string {
 	lately := func(address string) bool {
 		at, noted := s[address]
 		return noted && now.Sub(at) < silentFor
 	}
-	heard := slices.DeleteFunc(slices.Clone(addresses), lately)
+	ordered := slices.DeleteFunc(slices.Clone(addresses), lately)
 	for _, address := range addresses {
 		if lately(address) {
-			heard = append(heard, address)
+			ordered = append(ordered, address)
 		}
 	}
-	return heard
+	return ordered
 }
