--- a/state/mirror/mirror.go
+++ b/state/mirror/mirror.go
@@ -31,32 +31,33 @@
 	// Wait is how long one request for changes waits. It bounds the age of the last freshness
 	// proof while nothing changes.
 	Wait time.Duration
-	// Settle is the least time between two requests for changes, so that changes in quick
-	// succession arrive together.
+	// Settle is the least time between the starts of two requests, so that changes in quick
+	// succession arrive together. It does not apply to pages with Paced set.
 	Settle time.Duration
 	// Refresh ends a pause between two requests when it delivers a value, nil for never.
 	Refresh <-chan struct{}
 	// Grace is how long after an outage of the store a removed key is retained: leases expire
 	// while nobody can renew them, and their owners return.
 	Grace time.Duration
-	// Put and Gone receive each key that was written or removed, and the revision of that change.
+	// Put receives each pair that was written, and Gone each key that was removed with the revision
+	// of its removal.
 	Put  func(kv.Pair)
 	Gone func(key string, revision uint64)
 	// Confirm receives, after the changes of each answer, a time up to which the copy contains all
-	// writes: when the request was sent, or the time that another process which answered the
-	// request could prove.
+	// writes: when the request was sent, or, if another process answered in place of the store, the
+	// time of that process's proof.
 	Confirm func(proven time.Time)
 	// Partial receives such a time after each page but the last of the first full read, while the
 	// pages prove it: the keys read so far include all writes before it. Nil for no calls.
 	Partial func(proven time.Time)
 	// Unhurried reports, after a stale first page of the first full read, whether no caller waits
-	// for a proof. If so, all reads use stale pages only until one is proven. Nil for never.
+	// for a proof. If so, full reads use stale pages only, until a proof is found. Nil for never.
 	Unhurried func() bool
 	// Unproven is called after each full read that yields no freshness proof, with the number of
 	// such reads. It returns how long to pause, and whether to read everything again afterwards
-	// instead of requesting the changes since. Both results are ignored once the read is hurried.
-	// Nil for no pause and no second read.
-	Unproven func(readings int) (rest time.Duration, again bool)
+	// instead of requesting the changes since. Both results are ignored unless Unhurried has
+	// reported true. Nil for no pause and no second read.
+	Unproven func(reads int) (pause time.Duration, again bool)
 	// Now reads the clock of the times passed to Confirm, nil for time.Now. Where proofs must not
 	// appear newer than they are, it must continue while the host is suspended.
 	Now func() time.Time
@@ -70,10 +71,10 @@
 	pendingRemovals map[string]pendingRemoval
 	// at is the revision up to which the copy is current.
 	at uint64
-	// reading is the full read in progress, nil if there is none. After a failed call it continues
+	// fullRead is the full read in progress, nil if there is none. After a failed call it continues
 	// at the same page: while a whole fleet reads, the store is slow, and would stay slow if each
 	// failure restarted the read.
-	reading *reading
+	fullRead *fullRead
 	// unhurried is set while reads use stale pages only. unproven counts the reads that yielded no
 	// proof.
 	unhurried bool
@@ -96,14 +97,15 @@
 	due      time.Time
 }
 
-// reading is a full read of all keys, page by page.
-type reading struct {
+// fullRead is a full read of all keys, page by page.
+type fullRead struct {
 	// begun and sent are the time of the request for the first page, by package time's clock and
 	// by the clock of proofs.
 	begun, sent time.Time
-	// first is the revision of the first page, at the lowest revision of any page; the mirror
-	// requests the changes after at. The read proves all writes before its start as long as no
-	// page is older than the first one, unless the first one is itself stale.
+	// first is the revision of the first page, and at is the lowest revision of any page, after
+	// which the mirror then requests the changes. The read proves that it contains all writes
+	// before its start, as long as no page is older than the first one and the first one is not
+	// itself stale.
 	first, at uint64
 	stale     bool
 	// after is the last key read, seen holds all keys read.
@@ -180,10 +182,10 @@
 // may precede a failed call, and the zero time if the pages yield no proof. The first full read is
 // reported page by page.
 func (m *Mirror) load(ctx context.Context, first bool) (time.Time, error) {
-	if m.reading == nil {
-		m.reading = &reading{begun: time.Now(), sent: m.Now(), seen: make(map[string]bool)}
+	if m.fullRead == nil {
+		m.fullRead = &fullRead{begun: time.Now(), sent: m.Now(), seen: make(map[string]bool)}
 	}
-	r := m.reading
+	r := m.fullRead
 	for {
 		page, err := m.page(ctx, r, first)
 		if err != nil {
@@ -213,7 +215,7 @@
 	}
 	m.at, m.lag, m.paced = r.at, 0, false
 	m.overdue = !r.proves() || time.Since(r.begun) > m.Wait
-	m.reading = nil
+	m.fullRead = nil
 	if !r.proves() {
 		m.Log.Info().Int("keys", len(r.seen)).Uint64("revision", r.at).Uint64("first_page", r.first).
 			Msg("full read yields no freshness proof, requesting the changes since its revision")
@@ -225,7 +227,7 @@
 // page reads the next page of a full read. While nothing is known yet, all pages but the first may
 // be stale, and the first as well while no caller waits for a proof: when a whole fleet starts,
 // these pages make up most of the store's load.
-func (m *Mirror) page(ctx context.Context, r *reading, first bool) (kv.Page, error) {
+func (m *Mirror) page(ctx context.Context, r *fullRead, first bool) (kv.Page, error) {
 	if !first {
 		return m.Feed.Scan(ctx, m.Prefix, r.after)
 	}
@@ -251,7 +253,7 @@
 
 // proves reports whether the pages read so far contain all writes to their keys before the read
 // began.
-func (r *reading) proves() bool {
+func (r *fullRead) proves() bool {
 	return !r.stale && r.at >= r.first
 }
 
@@ -345,8 +347,8 @@
 
 // An outage of the store is a series of failures, or a silence long enough for records to expire,
 // which they do about 3 s after their owner's last renewal. A single lost answer is not an outage.
-// Neither is the silence of other gateways queried in place of the store: counted as an outage, it
-// delayed the removal of an endpoint that had left by 3.3 s while the store worked well.
+// Neither is the silence of other gateways queried in place of the store: when it counted as one,
+// a departed endpoint was removed 3.3 s late although the store worked well.
 const (
 	outageFailures = 2
 	outageSilence  = 2 * time.Second
