--- a/state/suspects/suspects.go
+++ b/state/suspects/suspects.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// maxKept bounds the recorded requests, some 200 bytes each. A fleet that loses 500 endpoints
-	// at once, each with 20 requests just begun, has 10,000 of them, and each gateway counts a
-	// share.
-	maxKept = 4096
+	// maxRecords bounds the recorded requests, some 200 bytes each. A fleet that loses 500
+	// endpoints at once, each with 20 requests just begun, has 10,000 of them, and each gateway
+	// counts a share.
+	maxRecords = 4096
 	// recentTime is how long an end counts as recent: its request is retried at once, or when its
 	// caller retries.
 	recentTime = 5 * time.Second
@@ -63,7 +63,7 @@
 	Print fingerprint.Fingerprint
 	// Ends is the number of incarnations that have ended during it.
 	Ends int
-	// Left is the remaining time of its quarantine, 0 if there is none.
+	// Left is the time left of its quarantine, 0 if it is not quarantined.
 	Left time.Duration
 	// Recent is set while the last end is recent.
 	Recent bool
@@ -77,15 +77,15 @@
 	// SuspectFrom is the number of ends that makes a request suspect.
 	SuspectFrom int
 
-	// size is the number of entries in kept, read without the lock: most gateways have none most
-	// of the time, and every request checks.
+	// size is the number of entries in records. It is read without the lock, because every request
+	// checks it and most gateways have no records most of the time.
 	size atomic.Int64
 	// recentUntil is the time until which an end or arrival of any suspect counts as recent, in
-	// nanoseconds of Unix time. It avoids a search: after a crash many requests are recorded, and
-	// few of them are suspects.
+	// nanoseconds of Unix time. It spares Recent a search through the records: after a crash there
+	// are many of them, and few are suspects.
 	recentUntil atomic.Int64
 	mu          sync.Mutex // guards what follows
-	kept        map[fingerprint.Fingerprint]*record
+	records     map[fingerprint.Fingerprint]*record
 }
 
 // record is the state of a request.
@@ -98,8 +98,8 @@
 	reportedUntil time.Time
 	// recentUntil is the time until which an end or an arrival counts as recent.
 	recentUntil time.Time
-	// barredUntil is the end of the quarantine.
-	barredUntil time.Time
+	// quarantinedUntil is the end of the quarantine.
+	quarantinedUntil time.Time
 }
 
 // Note records that an incarnation ended during a request, and returns all ends of the request.
@@ -135,7 +135,7 @@
 func (s *Suspects) Known(f fingerprint.Fingerprint, now time.Time) []End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.kept[f]
+	r := s.records[f]
 	if r == nil || now.Sub(r.at) > s.Lasts {
 		return nil
 	}
@@ -159,7 +159,7 @@
 func (s *Suspects) Arrived(f fingerprint.Fingerprint, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r := s.kept[f]; r != nil {
+	if r := s.records[f]; r != nil {
 		r.recentUntil = now.Add(recentTime)
 		s.noteRecent(r, now)
 	}
@@ -173,7 +173,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r := s.kept[f]; r != nil {
+	if r := s.records[f]; r != nil {
 		return s.ends(r, now)
 	}
 	return 0
@@ -184,10 +184,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.record(f, now)
-	if r.barredUntil.After(now) || !until.After(now) {
+	if r.quarantinedUntil.After(now) || !until.After(now) {
 		return false
 	}
-	r.barredUntil = until
+	r.quarantinedUntil = until
 	return true
 }
 
@@ -198,8 +198,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r := s.kept[f]; r != nil {
-		return max(r.barredUntil.Sub(now), 0)
+	if r := s.records[f]; r != nil {
+		return max(r.quarantinedUntil.Sub(now), 0)
 	}
 	return 0
 }
@@ -212,37 +212,37 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.kept[f]
-	if r == nil || r.barredUntil.After(now) {
+	r := s.records[f]
+	if r == nil || r.quarantinedUntil.After(now) {
 		return false
 	}
-	delete(s.kept, f)
-	s.size.Store(int64(len(s.kept)))
+	delete(s.records, f)
+	s.size.Store(int64(len(s.records)))
 	return true
 }
 
-// List returns at most most requests that are quarantined or have at least least ends: first the
-// quarantined ones, then those with the most ends.
-func (s *Suspects) List(least, most int, now time.Time) []Suspect {
+// List returns up to limit requests that are quarantined or have at least minEnds ends: first the
+// quarantined ones, then those with the most ends. It ignores reports of other gateways.
+func (s *Suspects) List(minEnds, limit int, now time.Time) []Suspect {
 	if s.size.Load() == 0 {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []Suspect
-	for f, r := range s.kept {
-		one := Suspect{Print: f, Left: max(r.barredUntil.Sub(now), 0), Recent: now.Sub(r.at) < recentTime}
+	for f, r := range s.records {
+		one := Suspect{Print: f, Left: max(r.quarantinedUntil.Sub(now), 0), Recent: now.Sub(r.at) < recentTime}
 		if now.Sub(r.at) <= s.Lasts {
 			one.Ends = len(r.ends) // own count only: gateways that echo each other's counts would keep them alive forever
 		}
-		if one.Left > 0 || one.Ends >= least {
+		if one.Left > 0 || one.Ends >= minEnds {
 			list = append(list, one)
 		}
 	}
 	slices.SortFunc(list, func(a, b Suspect) int {
 		return cmp.Or(cmp.Compare(b.Left, a.Left), cmp.Compare(b.Ends, a.Ends), cmp.Compare(a.Print, b.Print))
 	})
-	return list[:min(len(list), most)]
+	return list[:min(len(list), limit)]
 }
 
 // ends returns the number of ends of a record; s.mu is held.
@@ -265,8 +265,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []fingerprint.Fingerprint
-	for f, r := range s.kept {
-		if !r.barredUntil.After(now) && r.recentUntil.After(now) && s.ends(r, now) >= s.SuspectFrom {
+	for f, r := range s.records {
+		if !r.quarantinedUntil.After(now) && r.recentUntil.After(now) && s.ends(r, now) >= s.SuspectFrom {
 			list = append(list, f)
 		}
 	}
@@ -275,18 +275,18 @@
 
 // record returns the record of a request, and creates it if necessary; s.mu is held.
 func (s *Suspects) record(f fingerprint.Fingerprint, now time.Time) *record {
-	if r := s.kept[f]; r != nil {
+	if r := s.records[f]; r != nil {
 		return r
 	}
-	if s.kept == nil {
-		s.kept = make(map[fingerprint.Fingerprint]*record)
+	if s.records == nil {
+		s.records = make(map[fingerprint.Fingerprint]*record)
 	}
-	if len(s.kept) >= maxKept {
+	if len(s.records) >= maxRecords {
 		s.evict(now)
 	}
 	r := new(record)
-	s.kept[f] = r
-	s.size.Store(int64(len(s.kept)))
+	s.records[f] = r
+	s.size.Store(int64(len(s.records)))
 	return r
 }
 
@@ -294,23 +294,23 @@
 // drops the older half of the rest. It keeps quarantined requests; s.mu is held.
 func (s *Suspects) evict(now time.Time) {
 	var times []time.Time
-	for f, r := range s.kept {
+	for f, r := range s.records {
 		switch {
-		case r.barredUntil.After(now):
+		case r.quarantinedUntil.After(now):
 		case s.ends(r, now) == 0:
-			delete(s.kept, f)
+			delete(s.records, f)
 		default:
 			times = append(times, r.at)
 		}
 	}
-	if len(s.kept) < maxKept/2 || len(times) == 0 {
+	if len(s.records) < maxRecords/2 || len(times) == 0 {
 		return
 	}
 	slices.SortFunc(times, time.Time.Compare)
 	middle := times[len(times)/2]
-	for f, r := range s.kept {
-		if !r.barredUntil.After(now) && !r.at.After(middle) {
-			delete(s.kept, f)
+	for f, r := range s.records {
+		if !r.quarantinedUntil.After(now) && !r.at.After(middle) {
+			delete(s.records, f)
 		}
 	}
 }
