--- a/state/pace/pace.go
+++ b/state/pace/pace.go
@@ -1,5 +1,5 @@
-// Package pace keeps how slow an endpoint is compared with its kind, according to the latest
-// report of the endpoint itself or of another gateway.
+// Package pace records how long an endpoint takes compared with others of its kind, according to
+// the latest report by the endpoint itself or by another gateway.
 package pace
 
 import (
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Unit is the pace of an endpoint that is as fast as its kind.
+// Unit is the pace, in thousandths, of an endpoint that is as fast as its kind.
 const Unit = 1000
 
-// Pace is the slowness of an endpoint. The zero Pace means as fast as its kind. It is safe for
-// concurrent use.
+// Pace is the time that an endpoint takes relative to its kind; a higher pace is slower. The zero
+// Pace means as fast as its kind. It is safe for concurrent use.
 type Pace struct {
 	// last is nil until the first report.
 	last atomic.Pointer[report]
@@ -40,11 +40,11 @@
 }
 
 // Thousandths returns the pace at now, in thousandths of the time that the endpoint's kind takes.
-// A report counts for as long as fresh; without one, the pace is Unit.
+// It is Unit if there is no report, or only one older than fresh.
 func (p *Pace) Thousandths(now time.Time, fresh time.Duration) int64 {
-	w := p.last.Load()
-	if w == nil || now.Sub(w.at) > fresh {
+	latest := p.last.Load()
+	if latest == nil || now.Sub(latest.at) > fresh {
 		return Unit
 	}
-	return w.thousandths
+	return latest.thousandths
 }
