--- a/state/intake/intake.go
+++ b/state/intake/intake.go
@@ -1,6 +1,6 @@
-// Package intake keeps the throttle of one endpoint: the limits that it announced for the requests
-// it takes, and the share that this gateway may still send. Reads take no lock, because every
-// request checks it.
+// Package intake keeps the throttle of one endpoint: the limits that the endpoint announced for
+// the requests that it takes, and this gateway's share of them. Reads take no lock, because every
+// request checks the throttle.
 package intake
 
 import (
@@ -60,8 +60,8 @@
 	if i.current.Load() == nil && !l.Named() {
 		return before, after
 	}
-	luck := rand.Float64()
-	return i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithLimit(l, now, luck) })
+	jitter := rand.Float64()
+	return i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithLimit(l, now, jitter) })
 }
 
 // Divide sets this gateway's share of the limit.
@@ -101,8 +101,9 @@
 	return throttle.Free
 }
 
-// Wait counts a request that waits for the endpoint until leave is called. It returns when the
-// request may pass, after those that wait already; known is false if that is not known.
+// Wait counts a request as waiting for the endpoint until leave is called. It returns the time
+// from which the request may pass, after those that wait already; known is false if the throttle
+// does not determine that time.
 func (i *Intake) Wait(now time.Time) (from time.Time, known bool, leave func()) {
 	ahead := i.waiting.Add(1) - 1
 	leave = func() { i.waiting.Add(-1) }
