--- a/state/lines/lines.go
+++ b/state/lines/lines.go
@@ -16,7 +16,7 @@
 	linkShare = 0.4
 	// crossingsPerChain is how often a chain that leaves a hall crosses a link, on average.
 	crossingsPerChain = 1.5
-	// burstTime is how long unused capacity accumulates.
+	// burstTime is the time for which unused capacity accumulates at most.
 	burstTime = 4 * time.Second
 )
 
@@ -25,8 +25,9 @@
 	limiter rate.Limiter
 }
 
-// Allow reserves the crossing of the given number of tokens from this gateway's share of the
-// links, and reports whether enough was left.
+// Allow takes the capacity for sending the given number of tokens across halls from this gateway's
+// share of the links, and reports whether enough was left. It always reports true for a model
+// without a link rate or without a size per token.
 func (l *Lines) Allow(m *catalog.Model, tokens, gateways int) bool {
 	if m.LinkRate <= 0 || m.Handed <= 0 {
 		return true
