--- a/state/streams/times.go
+++ b/state/streams/times.go
@@ -8,8 +8,8 @@
 	"github.com/grademill/grademill/state/byname"
 )
 
-// firstMargin is the factor between the average time to a first event and the expected one: four
-// in five first events arrive sooner.
+// firstMargin is the factor by which First exceeds the average time to a first event: four in five
+// first events arrive sooner than First.
 const firstMargin = 2
 
 // Times estimates the time to the first event and the duration of the streams of each service. The
