--- a/state/outages/outages.go
+++ b/state/outages/outages.go
@@ -1,11 +1,12 @@
 // Package outages records which gateways have lost the store, and distinguishes an outage of the
 // store from one gateway's loss of its connection to it.
 //
-// It orders events by which message was received before which request was sent, and not by ages or
-// clocks. A gateway that loses the store draws a random number for its outage and sends it to the
-// others. A gateway that gets an answer of the store to a request sent after it received the
-// number returns the number. A gateway that gets its own number back knows that the store answered
-// another gateway after its own loss began, whatever the delay of the messages.
+// It orders events by whether a gateway received a message before it sent a request, and not by
+// ages or by the clocks of different gateways. A gateway that loses the store draws a random number
+// for its outage and sends it to the others. Another gateway returns the number once the store has
+// answered a request that it sent after it received the number. A gateway that gets its own number
+// back knows that the store answered another gateway after its own outage began, whatever the delay
+// of the messages.
 package outages
 
 import (
@@ -90,9 +91,9 @@
 	return len(o.others) > 0
 }
 
-// Partial returns the outages of others that are not outages of the store itself, given that the
-// store has answered a request that this gateway sent at time sent: those first reported before
-// it.
+// Partial returns the numbers of the outages of others that are not outages of the store itself,
+// given that the store has answered a request that this gateway sent at time sent. These are the
+// outages that were first reported before that time.
 func (o *Outages) Partial(sent, now time.Time) []uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
