--- a/state/roster/departures.go
+++ b/state/roster/departures.go
@@ -13,11 +13,11 @@
 	// maxDepartures bounds the recorded departures. The oldest are dropped first, since endpoints
 	// that left long ago have ended.
 	maxDepartures = 4096
-	// reportPeriod is how long a departure is reported to other processes. It is longer than a
-	// gateway is usually cut off from the store.
+	// reportPeriod is how long a departure is reported to other processes. It is longer than the
+	// usual time for which a gateway is cut off from the store.
 	reportPeriod = time.Minute
-	// maxReported is the number of departures in one report. It always includes the newest ones,
-	// which fill half of it; the older ones take turns.
+	// maxReported bounds the departures in one report. The newest ones fill half of each report,
+	// and the others share the rest in rotation.
 	maxReported = 32
 )
 
@@ -53,11 +53,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	record, known := r.records[n.Endpoint]
-	was := r.left(record)
+	wasLeft := r.left(record)
 	if !r.addDeparture(n.Departure, now.Add(-n.Age)) {
 		return record, false
 	}
-	overruled := known && !was && r.left(record)
+	overruled := known && !wasLeft && r.left(record)
 	r.changed = r.changed || overruled
 	return record, overruled
 }
@@ -78,8 +78,8 @@
 	}
 	reported, older := list[:maxReported/2:maxReported/2], list[maxReported/2:]
 	for range maxReported - len(reported) {
-		r.turn = (r.turn + 1) % len(older)
-		reported = append(reported, older[r.turn])
+		r.olderOffset = (r.olderOffset + 1) % len(older)
+		reported = append(reported, older[r.olderOffset])
 	}
 	return reported
 }
--- a/state/roster/roster.go
+++ b/state/roster/roster.go
@@ -44,8 +44,8 @@
 	// departures holds the departures by endpoint ID; they outlast the endpoint's record.
 	departures map[string]datedDeparture
 	changed    bool
-	// turn is the position among the older departures at which the next report continues.
-	turn int
+	// olderOffset is the position among the older departures at which the next report continues.
+	olderOffset int
 }
 
 // Put applies a record. It returns its effect and the previous record of the endpoint.
@@ -108,7 +108,7 @@
 	return former, known
 }
 
-// TakeChanged reports whether the roster has changed since the last call.
+// TakeChanged reports whether the roster has changed since the last call of TakeChanged.
 func (r *Roster) TakeChanged() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
