--- a/state/peers/share.go
+++ b/state/peers/share.go
@@ -5,9 +5,9 @@
 
 // Share is the use of an endpoint by one or several gateways.
 type Share struct {
-	// Active is the number of requests, Entered the number of those whose chain begins at the
-	// endpoint, Held their memory in tokens times layers, and Reading the number of those whose
-	// prompt is being processed.
+	// Active is the number of requests at the endpoint. Of these, Entered is the number whose chain
+	// begins there, and Reading the number whose prompt is still being processed. Held is the
+	// memory of all of them, in tokens times layers.
 	Active, Entered, Held, Reading int64
 	// Down is the number of gateways that recently got no answer from the endpoint.
 	Down int64
--- a/state/peers/table.go
+++ b/state/peers/table.go
@@ -49,9 +49,11 @@
 	return Key{Name: r.From.Name}
 }
 
-// Table holds the other gateways. The zero Table is empty. Set Counter before the first report.
+// Table holds the other gateways and their latest reports. The zero Table is empty. Set Counter
+// before the first report.
 type Table struct {
-	// Counter returns the sum of the shares at an endpoint, nil if the endpoint is unknown.
+	// Counter returns the counter that sums the shares at an endpoint, nil if the endpoint is
+	// unknown.
 	Counter func(endpoint string) Counter
 
 	mu sync.Mutex // guards what follows
@@ -108,8 +110,8 @@
 }
 
 // Hear applies a report and reports whether it is in force. It is not if a newer one has arrived,
-// or if another gateway reports for the sender's hall. A report for a hall replaces those of its
-// gateways, unless it is the hall of self.
+// if it is for the whole hall of self, or if it is for a gateway of another hall and a report for
+// that hall is in force. A report for a hall replaces those of its gateways.
 func (t *Table) Hear(r Report, self overlay.Member, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -170,8 +172,8 @@
 	}
 }
 
-// Miss marks the gateways that the store names and that have been silent for longer than after as
-// absent: Members omits them until they report again. They may be cut off rather than ended, so
+// Miss marks as absent the gateways that the store names but that have been silent for longer than
+// after. Members omits them until they report again. They may be cut off rather than ended, so
 // Size and AllHeard still count them.
 func (t *Table) Miss(now time.Time, after time.Duration) {
 	t.mu.Lock()
@@ -283,8 +285,8 @@
 	From overlay.Member
 	// Members is the number of gateways that the report covers, 0 for the sender alone.
 	Members int
-	// At is the time at which the configuration was certainly current, computed from the age in
-	// the report: too late by the report's transmission time.
+	// At is the time at which the configuration was certainly current. It is computed from the age
+	// in the report on arrival, and so is too late by the report's transmission time.
 	At time.Time
 	// Heard is when the report arrived.
 	Heard time.Time
@@ -292,7 +294,7 @@
 	Partial []uint64
 }
 
-// Proofs returns the freshness proofs of the others that the store answers.
+// Proofs returns the freshness proofs in the reports of those gateways that the store answers.
 func (t *Table) Proofs() []Proof {
 	t.mu.Lock()
 	defer t.mu.Unlock()
