--- a/state/runonce/runner.go
+++ b/state/runonce/runner.go
@@ -3,10 +3,10 @@
 //
 // A claim, written to the store under compare-and-swap, gives one incarnation of
 // one agent the right to run the call. The agent runs each idempotency key once.
-// When it is asked about a claim that has not started, it bars that claim for
-// good. A claim is therefore replaced only after its agent has confirmed that the
-// call has not run and never will. Without that confirmation the outcome is
-// uncertain, and the call is not retried.
+// When it is asked about a claim whose call has not started, it bars that claim:
+// the call will never run under it. A claim is therefore replaced only after its
+// agent has confirmed that the call has not run and never will. Without that
+// confirmation the outcome is uncertain, and the call is not retried.
 package runonce
 
 import (
@@ -71,8 +71,8 @@
 	sent bool
 }
 
-// The pause before the claim of another entry is settled. It doubles with each
-// conflict, at most maxDoublings times, so that it comes to exceed the time that a busy
+// Bounds of the pause before the claim of another entry is settled. The pause doubles
+// with each conflict, at most maxDoublings times, until it exceeds the time that a busy
 // host needs to start a call. Half of it is random, so that two entries that run the
 // same key at the same time do not bar each other's claims for ever.
 const (
--- a/state/runonce/runner_test.go
+++ b/state/runonce/runner_test.go
@@ -17,8 +17,8 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// rival is a store and agent in which another claim holds the key for the first
-// claims attempts. No call of that other claim has run.
+// rival is a store and an agent. In the store, another claim holds the key during as
+// many attempts as the field claims says. No call of that other claim has run.
 type rival struct {
 	claims int
 	// sends counts the calls sent; settles holds the times of the Settle calls.
