--- a/port/exchange/exchange.go
+++ b/port/exchange/exchange.go
@@ -1,6 +1,6 @@
 // Package exchange defines the interface to the HTTP headers of a platform. A Dialect
-// converts the headers that a gateway exchanges with callers and endpoints from and to
-// the types of this package.
+// converts between the types of this package and the headers that a gateway exchanges
+// with callers and endpoints.
 package exchange
 
 import (
@@ -13,12 +13,13 @@
 
 // Ask holds the contents of a caller's request headers.
 type Ask struct {
-	// ID identifies this attempt of the caller; a retry has another ID. It is empty if
-	// the caller sends none.
+	// ID identifies this attempt of the caller; the caller's retry has another ID. It is
+	// empty if the caller sends none.
 	ID string
 	// Key is the API key, empty if the caller sends none.
 	Key string
-	// Patience is how long the caller waits for the answer, 0 if it does not say.
+	// Patience is how long the caller waits for the answer, 0 if the headers do not state
+	// it.
 	Patience time.Duration
 	// Prompt is the number of tokens in the prompt, MaxAnswer the maximum number in the
 	// answer, and LikelyAnswer the number that the caller expects. Each is 0 if the
--- a/port/kv/feed.go
+++ b/port/kv/feed.go
@@ -18,7 +18,7 @@
 	// Lag before the call was sent. It is 0 in pages of the store itself, and negative if
 	// another process held the call until it had newer data.
 	Lag time.Duration
-	// Paced is set if the answering process itself limits the rate of calls, so the
+	// Paced is set if the process that answered limits the rate of calls, so that the
 	// caller need not.
 	Paced bool
 }
--- a/port/kv/store.go
+++ b/port/kv/store.go
@@ -96,9 +96,9 @@
 	return e.Err
 }
 
-// UnaskedError reports a read that was not sent to the store, since other processes ask the
-// store in place of this one and none of them answered. It does not mean that the store is
-// unavailable.
+// UnaskedError reports a read that was not sent to the store: this process queries other
+// processes in place of the store, and none of them had an answer. It does not mean that
+// the store is unavailable.
 type UnaskedError struct {
 	Err error
 }
--- a/port/runner/control.go
+++ b/port/runner/control.go
@@ -22,7 +22,7 @@
 	Orders uint64
 	// Queued and Active are the numbers of waiting and of running requests.
 	Queued, Active int
-	// Used and Total are the used and the whole memory for requests, in tokens times
+	// Used and Total are the used and the total memory for requests, in tokens times
 	// layers.
 	Used, Total int
 	// Pace is the time that the endpoint needs, as a multiple of the usual time of its
@@ -48,8 +48,8 @@
 	After uint64
 	// Layers is the range of layers to hold in place of the present one.
 	Layers layer.Range
-	// Cut tells the endpoint to break off the requests that still pass through the layers
-	// that it gives up. Otherwise it waits for them to end.
+	// Cut tells the endpoint to abort the requests that still pass through the layers that
+	// it gives up. Otherwise it waits for them to end.
 	Cut bool
 }
 
