--- a/state/outages/outages.go
+++ b/state/outages/outages.go
@@ -32,7 +32,7 @@
 type reportedOutage struct {
 	number uint64
 	// first and last are when its first and latest report arrived, by the clock of freshness
-	// proofs.
+	// proofs: see mirror.Mirror.Now.
 	first, last time.Time
 }
 
@@ -99,9 +99,9 @@
 	defer o.mu.Unlock()
 	o.forget(now)
 	var list []uint64
-	for _, t := range o.others {
-		if sent.After(t.first) {
-			list = append(list, t.number)
+	for _, outage := range o.others {
+		if sent.After(outage.first) {
+			list = append(list, outage.number)
 		}
 	}
 	return list
@@ -109,8 +109,8 @@
 
 // forget drops the outages without a recent report; o.mu is held.
 func (o *Outages) forget(now time.Time) {
-	for gateway, t := range o.others {
-		if now.Sub(t.last) > o.Fresh {
+	for gateway, outage := range o.others {
+		if now.Sub(outage.last) > o.Fresh {
 			delete(o.others, gateway)
 		}
 	}
