--- a/state/mirror/mirror.go
+++ b/state/mirror/mirror.go
@@ -99,8 +99,8 @@
 
 // fullRead is a full read of all keys, page by page.
 type fullRead struct {
-	// begun and sent are the time of the request for the first page, by package time's clock and
-	// by the clock of proofs.
+	// begun and sent are the time of the request for the first page, by the clock of package
+	// time and by Mirror.Now.
 	begun, sent time.Time
 	// first is the revision of the first page, and at is the lowest revision of any page, after
 	// which the mirror then requests the changes. The read proves that it contains all writes
@@ -263,8 +263,8 @@
 	if m.failures > 0 || m.overdue {
 		wait = 0 // detect the store's return, or its continued silence, at once
 	}
-	for _, d := range m.pendingRemovals {
-		wait = min(wait, max(time.Until(d.due), 0))
+	for _, removal := range m.pendingRemovals {
+		wait = min(wait, max(time.Until(removal.due), 0))
 	}
 	page, err := m.Feed.Changes(ctx, m.Prefix, m.at, wait)
 	if err != nil {
@@ -325,9 +325,9 @@
 // expire removes the pending keys whose grace period is over.
 func (m *Mirror) expire() {
 	now := time.Now()
-	for key, d := range m.pendingRemovals {
-		if !now.Before(d.due) {
-			m.forget(key, d.revision)
+	for key, removal := range m.pendingRemovals {
+		if !now.Before(removal.due) {
+			m.forget(key, removal.revision)
 		}
 	}
 }
