--- a/state/claimlog/log.go
+++ b/state/claimlog/log.go
@@ -62,11 +62,14 @@
 	// Timeout bounds each write to the store, with its retries.
 	Timeout time.Duration
 
-	mu      sync.Mutex
+	mu sync.Mutex // guards what follows
+	// waiting holds the claims that no write includes yet, by bucket. writing is set while a
+	// goroutine writes the claims of a bucket.
 	waiting [buckets][]*waiter
 	writing [buckets]bool
 }
 
+// waiter is a call of Claim that waits for the write of its claim.
 type waiter struct {
 	claim claim.Claim
 	done  chan error
