--- a/port/exchange/exchange.go
+++ b/port/exchange/exchange.go
@@ -52,8 +52,8 @@
 type Reply struct {
 	// ID is the ID of the answered request, empty if the answer has none.
 	ID string
-	// Signed is set if the answer bears the endpoint's seal, which shows that it is the
-	// endpoint's own.
+	// Signed is set if the answer carries the endpoint's seal, which shows that the
+	// endpoint itself sent it.
 	Signed bool
 	// NotRun is set if the endpoint states that it has not run the request.
 	NotRun bool
--- a/state/lines/lines.go
+++ b/state/lines/lines.go
@@ -27,7 +27,7 @@
 
 // Allow takes the capacity for sending the given number of tokens across halls from this gateway's
 // share of the links, and reports whether enough was left. It always reports true for a model
-// without a link rate or without a size per token.
+// without a link rate or an amount of data per token.
 func (l *Lines) Allow(m *catalog.Model, tokens, gateways int) bool {
 	if m.LinkRate <= 0 || m.Handed <= 0 {
 		return true
