--- a/state/watchcache/proof_test.go
+++ b/state/watchcache/proof_test.go
@@ -210,8 +210,8 @@
 	// proven is the latest time up to which the copy was certainly complete.
 	mu     sync.Mutex
 	proven time.Time
-	// broken describes the first write that a proof did not cover, empty if there is none.
-	broken string
+	// violation describes the first write that a proof did not cover, empty if there is none.
+	violation string
 	// confirms counts the proofs.
 	confirms int
 	// unhurried is set for a process that starts with stale pages.
@@ -229,8 +229,8 @@
 	p.s.mu.Lock()
 	defer p.s.mu.Unlock()
 	for _, w := range p.s.writes {
-		if w.at.Before(proven) && p.held[w.key] < w.revision && p.broken == "" {
-			p.broken = fmt.Sprintf("%s at revision %d was written %v before the time of the proof", w.key, w.revision, proven.Sub(w.at))
+		if w.at.Before(proven) && p.held[w.key] < w.revision && p.violation == "" {
+			p.violation = fmt.Sprintf("%s at revision %d was written %v before the time of the proof", w.key, w.revision, proven.Sub(w.at))
 		}
 	}
 }
@@ -318,7 +318,7 @@
 
 // runSchedule runs a schedule. It returns a description of the first invalid proof, empty if there is
 // none, and the number of proofs of the processes that query others.
-func runSchedule(t *testing.T, seed uint64, blind bool) (broken string, confirms int) {
+func runSchedule(t *testing.T, seed uint64, blind bool) (violation string, confirms int) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(seed)
 		f.from.blind = blind
@@ -328,15 +328,15 @@
 		cancel()
 		wait()
 		for i, p := range f.all {
-			if p.broken != "" {
-				broken = fmt.Sprintf("process %d: %s", i, p.broken)
+			if p.violation != "" {
+				violation = fmt.Sprintf("process %d: %s", i, p.violation)
 			}
 			if i > 1 {
 				confirms += p.confirms
 			}
 		}
 	})
-	return broken, confirms
+	return violation, confirms
 }
 
 // A freshness proof relayed by another process never covers a write that the copy lacks, whichever
@@ -345,8 +345,8 @@
 	t.Parallel()
 	confirms := 0
 	for seed := range uint64(schedules) {
-		broken, n := runSchedule(t, seed, false)
-		require.Empty(t, broken, "seed %d", seed)
+		violation, n := runSchedule(t, seed, false)
+		require.Empty(t, violation, "seed %d", seed)
 		confirms += n
 	}
 	require.Greater(t, confirms, 4*schedules)
@@ -360,7 +360,7 @@
 	const blind = 1000
 	wrong := 0
 	for seed := range uint64(blind) {
-		if broken, _ := runSchedule(t, seed, true); broken != "" {
+		if violation, _ := runSchedule(t, seed, true); violation != "" {
 			wrong++
 		}
 	}
