--- a/state/watchcache/proof_test.go
+++ b/state/watchcache/proof_test.go
@@ -316,8 +316,8 @@
 	}
 }
 
-// runSchedule runs a schedule. It returns a description of the first invalid proof, empty if there is
-// none, and the number of proofs of the processes that query others.
+// runSchedule runs the schedule of a seed. It returns a description of an invalid proof, empty if
+// there is none, and the number of proofs of the processes that query others.
 func runSchedule(t *testing.T, seed uint64, blind bool) (violation string, confirms int) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(seed)
