--- a/port/exchange/exchange.go
+++ b/port/exchange/exchange.go
@@ -1,6 +1,6 @@
 // Package exchange defines the interface to the HTTP headers of a platform. A Dialect
-// converts the headers that a gateway exchanges with callers and endpoints from and to
-// the types of this package.
+// converts between the types of this package and the headers that a gateway exchanges
+// with callers and endpoints.
 package exchange
 
 import (
@@ -13,12 +13,13 @@
 
 // Ask holds the contents of a caller's request headers.
 type Ask struct {
-	// ID identifies this attempt of the caller; a retry has another ID. It is empty if
-	// the caller sends none.
+	// ID identifies this attempt of the caller; the caller's retry has another ID. It is
+	// empty if the caller sends none.
 	ID string
 	// Key is the API key, empty if the caller sends none.
 	Key string
-	// Patience is how long the caller waits for the answer, 0 if it does not say.
+	// Patience is how long the caller waits for the answer, 0 if the headers do not state
+	// it.
 	Patience time.Duration
 	// Prompt is the number of tokens in the prompt, MaxAnswer the maximum number in the
 	// answer, and LikelyAnswer the number that the caller expects. Each is 0 if the
@@ -51,8 +52,8 @@
 type Reply struct {
 	// ID is the ID of the answered request, empty if the answer has none.
 	ID string
-	// Signed is set if the answer bears the endpoint's seal, which shows that it is the
-	// endpoint's own.
+	// Signed is set if the answer carries the endpoint's seal, which shows that the
+	// endpoint itself sent it.
 	Signed bool
 	// NotRun is set if the endpoint states that it has not run the request.
 	NotRun bool
--- a/state/outages/outages.go
+++ b/state/outages/outages.go
@@ -1,11 +1,12 @@
 // Package outages records which gateways have lost the store, and distinguishes an outage of the
 // store from one gateway's loss of its connection to it.
 //
-// It orders events by which message was received before which request was sent, and not by ages or
-// clocks. A gateway that loses the store draws a random number for its outage and sends it to the
-// others. A gateway that gets an answer of the store to a request sent after it received the
-// number returns the number. A gateway that gets its own number back knows that the store answered
-// another gateway after its own loss began, whatever the delay of the messages.
+// It orders events by whether a gateway received a message before it sent a request, and not by
+// ages or by the clocks of different gateways. A gateway that loses the store draws a random number
+// for its outage and sends it to the others. Another gateway returns the number once the store has
+// answered a request that it sent after it received the number. A gateway that gets its own number
+// back knows that the store answered another gateway after its own outage began, whatever the delay
+// of the messages.
 package outages
 
 import (
@@ -31,7 +32,7 @@
 type reportedOutage struct {
 	number uint64
 	// first and last are when its first and latest report arrived, by the clock of freshness
-	// proofs.
+	// proofs: see mirror.Mirror.Now.
 	first, last time.Time
 }
 
@@ -90,17 +91,17 @@
 	return len(o.others) > 0
 }
 
-// Partial returns the outages of others that are not outages of the store itself, given that the
-// store has answered a request that this gateway sent at time sent: those first reported before
-// it.
+// Partial returns the numbers of the outages of others that are not outages of the store itself,
+// given that the store has answered a request that this gateway sent at time sent. These are the
+// outages that were first reported before that time.
 func (o *Outages) Partial(sent, now time.Time) []uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.forget(now)
 	var list []uint64
-	for _, t := range o.others {
-		if sent.After(t.first) {
-			list = append(list, t.number)
+	for _, outage := range o.others {
+		if sent.After(outage.first) {
+			list = append(list, outage.number)
 		}
 	}
 	return list
@@ -108,8 +109,8 @@
 
 // forget drops the outages without a recent report; o.mu is held.
 func (o *Outages) forget(now time.Time) {
-	for gateway, t := range o.others {
-		if now.Sub(t.last) > o.Fresh {
+	for gateway, outage := range o.others {
+		if now.Sub(outage.last) > o.Fresh {
 			delete(o.others, gateway)
 		}
 	}
