--- a/role/gateway/admission.go
+++ b/role/gateway/admission.go
@@ -9,7 +9,7 @@
 	"github.com/grademill/grademill/role/gate"
 )
 
-// waiting returns the request as the line sees it.
+// waiting returns the request in the form that the queue needs.
 func (q *query) waiting() admission.Request {
 	return admission.Request{
 		Service: q.service.Name, Team: q.team, Priority: maxPriority - q.priority,
@@ -18,8 +18,8 @@
 	}
 }
 
-// takeTurn waits in line for a seat. A request that would wait for longer than it may is
-// turned away at once, and so is a new one when no chain holds all layers.
+// reserveQueued waits in the queue for a reservation. A request that would have to wait for longer
+// than it may is refused at once, and so is a new one when no chain holds all layers.
 func (g *Gateway) takeTurn(q *query, turn admission.Turn) (*seat, shortage) {
 	r := q.waiting()
 	if !r.Begun {
@@ -35,7 +35,7 @@
 			return taken, gate.Granted
 		case short == shortageLayers && turn.Urgency == urgency.New:
 			return nil, gate.Never
-		case short == shortageHeld && q.takenFrom(time.Now()).After(turn.Until): // its caller is told when
+		case short == shortageHeld && q.takenFrom(time.Now()).After(turn.Until): // the refusal carries a Retry-After delay
 			return nil, gate.Never
 		}
 		return nil, gate.Full
@@ -49,8 +49,8 @@
 	return nil, found
 }
 
-// turn returns how the request waits for a seat at now: one whose caller has events for as
-// long as it bears a pause.
+// queueTerms returns how the request waits for a reservation at now: one whose caller already has
+// events waits for as long as the caller accepts a pause.
 func (s *relay) turn(now time.Time) admission.Turn {
 	turn := s.g.line.Turn(s.q.waiting(), now)
 	if s.headSent {
--- a/role/gateway/chooser.go
+++ b/role/gateway/chooser.go
@@ -15,42 +15,41 @@
 	"github.com/grademill/grademill/state/pace"
 )
 
-// chooser chooses chains of one model; it may be used by one goroutine at a
-// time.
+// chooser searches for chains of one model. It is not safe for concurrent use.
 type chooser struct {
 	finder  chain.Finder
 	holders []chain.Holder
-	// chance is by how much each hall is dearer for this request.
+	// hallNoise is the random cost factor of each hall for this request.
 	chance []float64
-	// together is how many requests of all gateways do for each of this one what the
-	// request does: 1 for one that comes alone, more for one that leaves a lost endpoint.
+	// fleetFactor is the number of requests of all gateways that do the same for each one of this
+	// gateway: 1 for a single request, more for one that leaves a lost endpoint.
 	together float64
-	// unseen is the part of what other gateways have at an endpoint that may have come
-	// there since they last told.
+	// unreported is the share of the other gateways' requests at an endpoint that may have arrived
+	// since their last report.
 	unseen float64
-	// isolated are the endpoints at which suspects are tried.
+	// isolated holds the endpoints reserved for trying suspects.
 	isolated isolation.Plan
-	// open, avoided and crowded count the endpoints of the model, and those that
-	// were left out because they are passed over or have no room.
+	// open, avoided and crowded count the endpoints of the model, those that were avoided, and
+	// those without enough memory.
 	open, avoided, crowded int
-	// heldOut leaves out those that name a limit and have no part of it left for this gateway;
-	// else a request may prefer them, so that what is wanted of them is known.
+	// skipLimited leaves out endpoints that have announced a limit of which this gateway has no
+	// share left. Otherwise a request may pick them, so that the demand for them is known.
 	heldOut bool
-	// firsts counts the endpoints at which a chain may begin, held are those that take nothing now.
+	// entryCandidates counts the endpoints at which a chain may begin. held lists those of them
+	// that accept nothing now.
 	firsts int
 	held   []*backend
 }
 
-// choosers keep their working memory between requests.
+// choosers recycles the working memory of choosers.
 var choosers = sync.Pool{New: func() any { return new(chooser) }}
 
-// keptCost is what a layer costs that a request has already passed through, in
-// parts of its usual cost: it need not be read again.
+// keptLayerCost is the cost factor of a layer that has already processed the request: it need not
+// read the prompt again.
 const keptCost = 0.05
 
-// keep prepares the holders for moving a request away from an old seat: the
-// parts that are not avoided stay as they are, and nothing else takes the layers
-// of the first part.
+// keepChain prepares the holders for moving a request away from an old reservation: backends that
+// are not avoided stay as they are, and no other endpoint takes the layers of the first one.
 func (c *chooser) keep(old *seat, q *query, now time.Time) {
 	head := old.chain[0].Layers.End
 	holders := c.holders[:0]
@@ -77,18 +76,17 @@
 	c.holders = holders
 }
 
-// chanceHall and chanceEndpoint are by how much a hall and an endpoint are dearer
-// for one request, at most, drawn anew for each: what gateways know of each other's
-// requests is 0.2 to 0.4 s old, and without chance they all
-// take the same cheapest chain meanwhile. Measured on the grown sites, mean worth
-// of their four days of high load: 0.58 without, 0.67 with these.
+// maxHallNoise and maxEndpointNoise bound the random extra cost of a hall and of an endpoint, drawn
+// anew for each request. What gateways know of each other's requests is 0.2 to 0.4 s old, and
+// without noise they would all take the same cheapest chain meanwhile: under high load the mean
+// worth of a request was 0.58 without noise and 0.67 with it.
 const (
 	chanceHall     = 0.7
 	chanceEndpoint = 0.2
 )
 
-// prepare sets the model, the costs of beginning in a hall, what others may have taken
-// meanwhile, and what chance adds.
+// prepare sets the model, the costs of entering a chain in each hall, the share of other gateways'
+// requests not yet reported, and the noise.
 func (c *chooser) prepare(m *catalog.Model, f *fleet, home string, others unseen.Flow) {
 	c.finder.Layers = m.Layers
 	c.together = 1
@@ -105,7 +103,7 @@
 	}
 }
 
-// hops sets the costs of handing a token on, between two halls that of far.
+// hops sets the cost of passing a token on; between two halls it is crossHall.
 func (c *chooser) hops(far float64) {
 	halls := len(c.finder.Entry)
 	for len(c.finder.Hops) < halls {
@@ -122,15 +120,15 @@
 	}
 }
 
-// choice says which backends a request may use.
+// candidateFilter selects the backends that a search leaves out.
 type choice uint8
 
 const (
-	// useSound leaves out those that are passed over, and those without room.
+	// skipAvoidedAndFull leaves out backends that are avoided and those without room.
 	useSound choice = iota
-	// useFull leaves out those that are passed over.
+	// skipAvoided leaves out backends that are avoided.
 	useFull
-	// useDoubtful leaves out those without room.
+	// skipFull leaves out backends without room.
 	useDoubtful
 )
 
@@ -141,32 +139,33 @@
 	now := time.Now()
 	for _, b := range f.open[q.service.Name] {
 		usable := b.usable(now)
-		// A card of no known kind has no known costs: another writer may have left its record.
+		// A card of unknown kind has no known costs; a record written by another program may name
+		// one.
 		if _, known := q.service.Model.Cards[b.Card]; usable.Empty() || !known {
 			continue
 		}
 		c.open++
 		hold := b.use.intake.Held(now)
-		// What its host refuses connections to is not in doubt. Sends there would only use up the retries
-		// that callers need once others hold its layers.
+		// An endpoint whose host refuses connections has certainly ended. Sending there would only
+		// use up the retry budget that callers need once other endpoints hold its layers.
 		out := hold == throttle.Leaving || b.use.down() && b.use.ended.Load()
 		if q.avoids(b.Address) || out || use != useDoubtful && b.use.avoided(now) {
 			c.avoided++
 			continue
 		}
 		if usable.First == 0 && !q.mayBegin(b, c.isolated) {
-			usable.First = 1 // what begins to run a request is what it may end
+			usable.First = 1 // the endpoint that starts a request is the one that the request may crash
 		}
 		if usable.First == 0 {
 			c.firsts++
 			if use != useFull && c.holds(hold) {
 				c.held = append(c.held, b)
-				usable.First = 1 // what passes through it from another endpoint is no request to it
+				usable.First = 1 // the limit counts only requests that start at the endpoint, not those that pass through it
 			}
 		}
 		room, free := b.room(q.service.Model, need)
 		if use != useFull && usable.First == 0 && b.noSlot(c.unseen) {
-			usable.First = 1 // the layers behind it need no slot
+			usable.First = 1 // layers behind the first need no slot
 		}
 		if use != useFull && (free < 0 || usable.Empty()) {
 			c.crowded++
@@ -179,12 +178,13 @@
 	}
 }
 
-// holds reports whether an endpoint is left out as the first of a chain for a reason of its own.
+// declines reports whether an endpoint that announced a limit or a backoff period is left out as
+// the first of a chain.
 func (c *chooser) holds(hold throttle.Hold) bool {
 	return hold == throttle.Resting || hold == throttle.Limited && c.heldOut
 }
 
-// shortage returns why no chain was found where there is one.
+// shortage returns why the search found no chain although one exists.
 func (c *chooser) shortage() shortage {
 	if c.firsts > 0 && len(c.held) == c.firsts {
 		return shortageHeld
@@ -192,17 +192,17 @@
 	return shortageRoom
 }
 
-// room returns the memory of a backend beside its layers, in tokens times layers, and what
-// is free of it once a request has taken what it needs.
+// room returns the memory of a backend beside its layers, in tokens times layers, and the part of
+// it that stays free after a request has taken what it needs.
 func (b *backend) room(m *catalog.Model, need int) (room, free float64) {
 	layers := b.Layers.Len()
 	room = float64(m.Room(m.Cards[b.Card], layers) * layers)
 	return room, room - float64(b.use.held.Load()+b.use.othersHeld.Load()) - float64(need*layers)
 }
 
-// usable returns the layers of a backend that new requests may use: those that it has
-// been ordered to give up take nothing new, and those that it says it lacks are not there
-// whatever its record says.
+// usable returns the layers of a backend that new requests may use. Layers that it has been ordered
+// to give up take no new requests, and layers that it reports as missing do not count, whatever its
+// record says.
 func (b *backend) usable(now time.Time) layer.Range {
 	layers := b.Layers
 	if order := b.use.orderedLayers(now); !order.Empty() {
@@ -214,31 +214,30 @@
 	return layers
 }
 
-// noSlot reports whether a backend is first in no more chains. Only a request whose chain
-// begins there takes one of its slots; unseen is the part of what others have there that
-// may have come since they told.
+// slotsFull reports whether a backend can be the first of no further chain. Only a request whose
+// chain begins there takes one of its slots. unreported is the share of the other gateways'
+// requests there that may have arrived since their last report.
 func (b *backend) noSlot(unseen float64) bool {
 	others := float64(b.use.othersEntered.Load())
 	return int(float64(b.use.entered.Load())+others*(1+unseen)) >= b.Slots
 }
 
-// perLayer returns what a layer of a backend costs a request, in seconds a token,
-// before memory counts.
+// perLayer returns the cost of a layer of a backend for a request, in seconds per token, before the
+// memory factor.
 func (c *chooser) perLayer(q *query, b *backend, now time.Time) float64 {
 	chance := c.chance[b.hall] * (1 + chanceEndpoint*rand.Float64())
 	slow := float64(b.use.slowness(now)) / pace.Unit
 	return c.layerTime(q.service.Model, q.service.Model.Cards[b.Card], q, b.use) * slow * chance
 }
 
-// readOver is the number of tokens over which the reading of a prompt is spread in
-// the cost of a chain. An answer has some 200, but a first event that comes too
-// late costs half of its worth: spread over the answer, 60 prompts that wait at an
-// endpoint weighed less than another hall. Mean worth of the grown sites' four days
-// of high load: 0.66 with 10, 0.67 with 32.
+// readSpreadTokens is the number of tokens over which the cost of reading a prompt is spread. An
+// answer has about 200, but a late first event halves the worth of a request: spread over the whole
+// answer, 60 prompts waiting at an endpoint weighed less than using another hall. Under high load
+// the mean worth of a request was 0.66 at 10 tokens and 0.67 at 32.
 const readOver = 32
 
-// layerTime returns the seconds that one layer adds to a token, with a part of the
-// reading of the prompt, after those that are being read there.
+// layerTime returns the seconds that one layer adds to a token, including a share of the time to
+// read the prompt after those that are being read there.
 func (c *chooser) layerTime(m *catalog.Model, card catalog.Card, q *query, u *usage) float64 {
 	active := u.active.Load() + u.othersActive.Load()
 	reading := float64(u.reading.Load())*c.together + float64(u.othersReading.Load())
@@ -247,7 +246,7 @@
 	return (step*card.Pace + read*card.Read) / float64(m.Layers)
 }
 
-// crowding returns how much dearer an endpoint is for the memory in use.
+// memoryFactor returns the cost factor of an endpoint for its memory in use.
 func crowding(free, room float64) float64 {
 	if free <= 0 || room <= 0 {
 		return maxCrowding
--- a/role/gateway/digest.go
+++ b/role/gateway/digest.go
@@ -9,11 +9,12 @@
 	"github.com/grademill/grademill/wire/gossip"
 )
 
-// checkedTold is how long a check that was passed is told of: as long as it may count
-// for the last of the gateways that would check the endpoint.
+// checkReportTime is how long a passed check is reported to others: for as long as it may count for
+// the last of the gateways that would check the endpoint.
 const checkedTold = 3 * time.Second
 
-// Digest returns what this gateway uses at now, with what others of its hall use.
+// Digest returns the use that this gateway makes of endpoints at now, plus that of others in its
+// hall.
 func (g *Gateway) Digest(now time.Time, others map[string]peers.Share) *gossip.Digest {
 	d := &gossip.Digest{
 		Proven:         g.loaded.Load() && !g.failing.Load(),
@@ -22,19 +23,19 @@
 		Cut:            g.feed.Cut(now),
 		Suspects:       g.quarantine.Told(now),
 	}
-	if others == nil { // the words of a hall are its gateways' own
+	if others == nil { // a hall's digest does not repeat what its gateways say themselves
 		g.partition.Tell(d)
 	}
 	if others != nil && now.UnixNano()-g.leaderNear.Load() < int64(wordFresh) {
-		d.Leading = true // the one that gives orders is of this hall
+		d.Leading = true // the leader is in this hall
 	}
 	g.membership.Tell(d, now)
 	for id, b := range g.fleet.Load().byID {
 		if b.use.untouched(now) && (others == nil || others[id] == peers.Share{}) {
-			continue // most of a large fleet
+			continue // the case of most endpoints of a large fleet
 		}
 		checked := b.use.checkedAt.Load()
-		if others != nil && b.Hall == g.Hall { // the hall's word on its own endpoints
+		if others != nil && b.Hall == g.Hall { // a hall's digest is authoritative on its own endpoints
 			checked = max(checked, b.use.othersCheckedAt.Load())
 		}
 		use := b.use.told(now, others[id], checked)
@@ -54,8 +55,8 @@
 	return d
 }
 
-// untouched reports whether this gateway has nothing at the endpoint and has heard nothing of
-// it that others might not know.
+// unused reports whether this gateway has no requests at the endpoint and knows nothing of it that
+// others might not know.
 func (u *usage) untouched(now time.Time) bool {
 	at := now.UnixNano()
 	lately := max(u.checkedAt.Load(), u.othersCheckedAt.Load())
@@ -63,8 +64,8 @@
 		at-lately >= int64(checkedTold) && u.ordered.Load() == nil && !u.intake.Tells(now)
 }
 
-// told returns what is told of an endpoint at now, with what others have there, and a check
-// that it passed at a time, in nanoseconds of Unix time.
+// digestEntry returns the digest entry of an endpoint at now, plus the use by others; checked is
+// when it last passed a check, in nanoseconds of Unix time.
 func (u *usage) told(now time.Time, others peers.Share, checked int64) *gossip.Use {
 	s := peers.Share{
 		Active: u.active.Load(), Entered: u.entered.Load(), Held: u.held.Load(), Reading: u.reading.Load(),
@@ -87,19 +88,19 @@
 	return use
 }
 
-// silentUse reports whether a use says nothing that others need to know.
+// isEmptyUse reports whether a use contains nothing that others need to know.
 func silentUse(use *gossip.Use) bool {
 	return use.GetActive() == 0 && use.GetHeld() == 0 && use.GetAvoidedMillis() == 0 && use.GetDown() == 0 &&
 		use.GetCheckedMillis() == 0 && use.GetOrderedEnd() == 0 && use.GetLimitAgeMillis() == 0 && use.GetWantedMillis() == 0
 }
 
-// tellOrder adds the order that the endpoint carries out, if there is one.
+// addOrder adds the order that the endpoint carries out, if there is one.
 func (u *usage) tellOrder(use *gossip.Use, now time.Time) {
 	order := u.orderedLayers(now)
 	use.OrderedFirst, use.OrderedEnd = uint32(order.First), uint32(order.End)
 }
 
-// Heard takes in a digest of another gateway, or of another hall.
+// Heard handles a digest of another gateway, or of another hall.
 func (g *Gateway) Heard(d *gossip.Digest, now time.Time) {
 	g.membership.Hear(d, now)
 	f := g.fleet.Load()
@@ -109,7 +110,7 @@
 	}
 	if d.GetLeading() {
 		g.directedAt.Store(now.UnixNano())
-		if d.GetMembers() == 0 { // only its own word is told on: an echo would never end
+		if d.GetMembers() == 0 { // only the leader's own digest is relayed: otherwise an echo would never end
 			g.leaderNear.Store(now.UnixNano())
 		}
 		g.hearOrders(f, d, now)
@@ -137,22 +138,22 @@
 	}
 }
 
-// Lost takes in that an endpoint gives another gateway no answer.
+// Lost handles the report that an endpoint does not answer another gateway.
 func (g *Gateway) Lost(l *gossip.Loss, now time.Time) {
 	if b := g.fleet.Load().byID[l.GetEndpoint()]; b != nil {
 		g.hearDown(b, l.GetGateway(), now)
 	}
 }
 
-// Ended takes in what another gateway tells of the ends of endpoints under requests.
+// Ended handles a report by another gateway on endpoints that have ended under requests.
 func (g *Gateway) Ended(e *gossip.Ends, now time.Time) {
 	g.quarantine.Hear(e, now)
 }
 
-// hearDown takes in that another gateway says that an endpoint is down. The other one may
-// be cut off itself: its word alone has the endpoint checked, if this one uses it or looks
-// after it. By the word of two the endpoint is passed over, and streams through it whose
-// events stay away are moved.
+// handleDownReport handles a report by another gateway that an endpoint is down. The other gateway
+// may be cut off itself: its report alone only causes a check, if this gateway uses the endpoint or
+// is one of its checkers. After reports by two gateways the endpoint is avoided, and streams
+// through it whose events are overdue are moved.
 func (g *Gateway) hearDown(b *backend, from string, now time.Time) {
 	if b.use.down() {
 		return
@@ -169,7 +170,7 @@
 	}
 }
 
-// believe takes an endpoint for dead by the word of others.
+// believeDown presumes an endpoint dead because other gateways report it down.
 func (g *Gateway) believe(b *backend, now time.Time) {
 	known := b.use.dead(now)
 	if now.UnixNano() > b.use.toldUntil.Load() {
@@ -184,8 +185,8 @@
 	b.use.watchers.kick()
 }
 
-// hearOrders takes in the orders under way. While this gateway gives orders itself, those
-// of another one, whose right has ended, add to its own.
+// handleOrders records the orders under way. While this gateway itself gives orders, those of
+// another leader, whose right has ended, are added to its own.
 func (g *Gateway) hearOrders(f *fleet, d *gossip.Digest, now time.Time) {
 	told := make(map[string]layer.Range, len(d.GetUses()))
 	for _, use := range d.GetUses() {
@@ -201,13 +202,13 @@
 	}
 }
 
-// directed reports whether the gateway that gives orders has been heard of lately.
+// leaderHeard reports whether the gateway that gives orders has reported so recently.
 func (g *Gateway) directed(now time.Time) bool {
 	return now.UnixNano()-g.directedAt.Load() < int64(wordFresh)
 }
 
-// adoptStall passes an endpoint over for as long as another gateway does, and has
-// the streams through it moved when this is news.
+// handleStallReport avoids an endpoint for as long as another gateway does, and has the streams
+// through it moved unless it was already presumed dead.
 func (g *Gateway) adoptStall(b *backend, now time.Time, wait time.Duration) {
 	news := !b.use.dead(now)
 	b.use.othersStalled.Store(now.Add(wait).UnixNano())
@@ -216,8 +217,8 @@
 	}
 }
 
-// Tick compares this gateway's proof with the others', divides the limits of endpoints anew, and goes
-// on with the quarantine.
+// Tick divides the limits of endpoints anew, compares this gateway's freshness proof with those of
+// the others, and advances the quarantine.
 func (g *Gateway) Tick(now time.Time) {
 	for id, b := range g.fleet.Load().byID {
 		g.throttling.Divide(id, &b.use.intake, now)
--- a/role/gateway/fleet.go
+++ b/role/gateway/fleet.go
@@ -16,21 +16,20 @@
 	"github.com/grademill/grademill/state/witnesses"
 )
 
-// fleet is what is known of all endpoints at one moment. It is immutable; the
-// usage of its backends is not.
+// fleet is a snapshot of all known endpoints. It is immutable; the usage of its backends is not.
 type fleet struct {
-	// open are the backends that take new work, by service.
+	// open holds the backends that take new work, by service.
 	open map[string][]*backend
-	// byID and byAddress hold those that are leaving, too.
+	// byID and byAddress also hold backends that are leaving.
 	byID      map[string]*backend
 	byAddress map[string]*backend
-	// byHall holds them by the name of the data hall.
+	// byHall holds the backends by the name of their data hall.
 	byHall map[string][]*backend
-	// halls are the names of the data halls; backend.hall is an index of it.
+	// halls holds the names of the data halls; backend.hall is an index into it.
 	halls []string
 }
 
-// newFleet returns the fleet of the given backends.
+// newFleet returns a fleet of the given backends.
 func newFleet(all []*backend) *fleet {
 	f := &fleet{
 		open: make(map[string][]*backend), byID: make(map[string]*backend), byAddress: make(map[string]*backend),
@@ -61,67 +60,66 @@
 	hall int
 }
 
-// usage is what this gateway knows of an endpoint beyond its record. It stays
-// the same while the record changes. All fields may be read and written at any
-// time.
+// usage is what this gateway knows of an endpoint beyond its record. It survives changes of the
+// record. All fields are safe for concurrent use.
 type usage struct {
-	// active is the number of requests of this gateway that it runs, held the
-	// memory that they need, in tokens times layers.
+	// active is the number of requests of this gateway that the endpoint runs, held the memory that
+	// they need, in tokens times layers.
 	active, held atomic.Int64
-	// entered is the number of those whose chain begins there, which take its slots,
-	// othersEntered that of the other gateways.
+	// entered is the number of those whose chain begins there, which take its slots, othersEntered
+	// that of the other gateways.
 	entered, othersEntered atomic.Int64
-	// reading is the number of requests of this gateway whose prompt it reads,
-	// othersReading that of the other gateways.
+	// reading is the number of requests of this gateway whose prompt it reads, othersReading that
+	// of the other gateways.
 	reading, othersReading atomic.Int64
-	// othersActive and othersHeld are those of the other gateways, othersDown is the
-	// number of those that lately got no answer of the endpoint.
+	// othersActive and othersHeld are the corresponding values of the other gateways; othersDown is
+	// the number of those that recently got no answer from the endpoint.
 	othersActive, othersHeld, othersDown atomic.Int64
-	// pace is how slow it is, as it last said.
+	// pace is how slow it is, by its latest report.
 	pace pace.Pace
-	// shortUntil is when it may be tried again after it refused for want of
-	// room, in nanoseconds of Unix time.
+	// noRoomUntil is until when it is avoided after it refused for lack of room, in nanoseconds of
+	// Unix time.
 	shortUntil atomic.Int64
-	// stalledUntil is when it may be tried again after it held requests up, as
-	// this gateway saw, and othersStalled as others did, in nanoseconds of Unix
-	// time; stalls counts how often it did.
+	// stalledUntil is until when it is avoided after it held requests up, as observed by this
+	// gateway, othersStalled as reported by others, in nanoseconds of Unix time; stalls counts the
+	// times that it did.
 	stalledUntil, othersStalled, stalls atomic.Int64
 	// eventAt is when an event last came through it, in nanoseconds of Unix time.
 	eventAt atomic.Int64
-	// downSince is when it was found not to answer, 0 while it does, silentAt when it
-	// last gave no answer, and toldUntil until when it is taken for dead by the word of
-	// other gateways, in nanoseconds of Unix time.
+	// downSince is when it was found not to answer, 0 while it answers, silentAt when it last gave
+	// no answer, and reportedDownUntil until when it is presumed dead because other gateways report
+	// it down, in nanoseconds of Unix time.
 	downSince, silentAt, toldUntil atomic.Int64
-	// toldSince is since when it is taken for dead by their word, and contradictedUntil
-	// until when that does not count, since it has answered this gateway meanwhile, in
-	// nanoseconds of Unix time.
+	// reportedDownSince is since when it is presumed dead because of their reports, and
+	// contradictedUntil until when these reports do not count because it has answered this gateway
+	// meanwhile, in nanoseconds of Unix time.
 	toldSince, contradictedUntil atomic.Int64
-	// witnesses are the other gateways that say that it is down.
+	// witnesses are the other gateways that report it down.
 	witnesses witnesses.Witnesses
-	// begun are the requests that it had just begun when it was found silent, nil once it is
+	// begun are the requests that it had just started when it was found silent, nil once it is
 	// known whether it has ended.
 	begun atomic.Pointer[[]suspects.Begun]
-	// rechecks counts the checks in a row without an answer since it was found down.
+	// rechecks counts the consecutive checks without an answer since it was found down.
 	rechecks atomic.Int64
 	// ended is set while its host refuses connections to it: its process has ended.
 	ended atomic.Bool
-	// checking is set while it is checked, heldUp while it is checked again and again since
-	// this process was held up.
+	// checking is set while it is checked, recheckingStarved while it is checked repeatedly because
+	// this process was starved of processor time.
 	checking, heldUp atomic.Bool
-	// checkedAt is when it last answered a check, and othersCheckedAt when it answered
-	// one of another gateway, in nanoseconds of Unix time.
+	// checkedAt is when it last answered a check, and othersCheckedAt when it last answered one of
+	// another gateway, in nanoseconds of Unix time.
 	checkedAt, othersCheckedAt atomic.Int64
-	// holding is what it says that it holds while its record differs, nil for none.
+	// holding is what it reports to hold while its record differs, nil for none.
 	holding atomic.Pointer[holding.Holding]
-	// ordered is the order that it carries out, nil for none that is known of.
+	// pendingOrder is the order that it carries out, nil for none known.
 	ordered atomic.Pointer[ordered]
 	// watchers watch the streams that pass through it.
 	watchers watchers
-	// waiting is the number of requests that wait, as it last said, and said
-	// when that was, in nanoseconds of Unix time.
+	// waiting is the number of queued requests that it last reported, loadReportedAt when it did,
+	// in nanoseconds of Unix time.
 	waiting, said atomic.Int64
 	health        atomic.Pointer[health.Record]
-	// intake is what it has said of the requests that it takes.
+	// intake holds the limit and backoff period that it has asked for.
 	intake intake.Intake
 }
 
@@ -132,7 +130,7 @@
 	return u
 }
 
-// Count adds what another gateway has at the endpoint.
+// Count adds the share of another gateway at the endpoint.
 func (u *usage) Count(s peers.Share) {
 	u.othersActive.Add(s.Active)
 	u.othersEntered.Add(s.Entered)
@@ -141,25 +139,24 @@
 	u.othersDown.Add(s.Down)
 }
 
-// noteOthersCheck notes that the endpoint answered a check of another gateway at a time.
+// noteOthersCheck records that the endpoint answered a check of another gateway at a time.
 func (u *usage) noteOthersCheck(at time.Time) {
 	if at.UnixNano() > u.othersCheckedAt.Load() {
 		u.othersCheckedAt.Store(at.UnixNano())
 	}
 }
 
-// paceFresh is how long the word of an endpoint about its pace counts: it is asked anew
-// several times meanwhile.
+// paceFresh is how long the reported pace of an endpoint counts: it is asked several times
+// meanwhile.
 const paceFresh = 3 * surveyEvery
 
-// slowness returns how slow the endpoint is at now, in thousandths of the time of its
-// kind.
+// slowness returns how slow the endpoint is at now, in thousandths of the time of its kind.
 func (u *usage) slowness(now time.Time) int64 {
 	return u.pace.Thousandths(now, paceFresh)
 }
 
-// orderedLayers returns the layers of the order that the endpoint carries out at now,
-// empty for none.
+// orderedLayers returns the layers of the order that the endpoint carries out at now, empty for
+// none.
 func (u *usage) orderedLayers(now time.Time) layer.Range {
 	order := u.ordered.Load()
 	if order == nil || now.After(order.until) {
@@ -168,7 +165,7 @@
 	return order.layers
 }
 
-// setOrdered notes what the gateway that gives orders says of them.
+// setOrdered records the order that the leader reports for the endpoint, empty layers for none.
 func (u *usage) setOrdered(layers layer.Range, now time.Time) {
 	if layers.Empty() {
 		u.ordered.Store(nil)
@@ -177,7 +174,7 @@
 	u.ordered.Store(&ordered{layers: layers, until: now.Add(orderWait)})
 }
 
-// judge replaces the record of health by what change makes of it.
+// updateHealth atomically replaces the health record by the result of change.
 func (u *usage) judge(change func(health.Record) health.Record) {
 	for {
 		old := u.health.Load()
@@ -188,37 +185,37 @@
 	}
 }
 
-// avoided reports whether new requests pass the endpoint over at now.
+// avoided reports whether new requests avoid the endpoint at now.
 func (u *usage) avoided(now time.Time) bool {
 	return u.dead(now) || u.lost(now) || now.UnixNano() < u.shortUntil.Load() || u.health.Load().Avoided(now)
 }
 
-// dead reports whether the endpoint is taken to have ended, or to be cut off, at
-// now: what runs there is lost. That one request was lost there says nothing of the
+// presumedDead reports whether the endpoint is presumed to have ended, or to be cut off, at now:
+// the requests that run there are lost. The loss of a single request there says nothing about the
 // others.
 func (u *usage) dead(now time.Time) bool {
 	at := now.UnixNano()
 	return u.down() || at < u.stalledUntil.Load() || at < u.othersStalled.Load() || at < u.toldUntil.Load()
 }
 
-// enoughWitnesses is the number of other gateways by whose word alone an endpoint is taken
-// for dead: a single one may be cut off itself.
+// enoughWitnesses is the number of other gateways whose reports alone make an endpoint presumed
+// dead: a single one may be cut off itself.
 const enoughWitnesses = 2
 
-// lost reports whether other gateways say that the endpoint is down, while nothing has
-// come through it here. It gets nothing new then; what runs there is checked.
+// reportedDown reports whether other gateways report the endpoint down while no event has recently
+// come through it here. It then gets no new requests; those that run there are checked.
 func (u *usage) lost(now time.Time) bool {
 	return u.othersDown.Load() >= enoughWitnesses && !u.contradicted(now) && now.UnixNano()-u.eventAt.Load() > int64(lively)
 }
 
-// contradicted reports whether the word of others that the endpoint is down does not count,
-// since it has answered this gateway.
+// contradicted reports whether reports that the endpoint is down do not count, since it has
+// answered this gateway.
 func (u *usage) contradicted(now time.Time) bool {
 	return now.UnixNano() < u.contradictedUntil.Load()
 }
 
-// answered notes that the endpoint has answered a question that was begun at a time, and
-// reports whether it had been taken for dead by the word of others.
+// noteAnswered records that the endpoint has answered a question asked at begun, and reports
+// whether it had been presumed dead because others reported it down.
 func (u *usage) answered(begun, now time.Time) bool {
 	if u.witnesses.Count(now) == 0 || begun.UnixNano() <= u.toldSince.Load() {
 		return false
@@ -232,7 +229,7 @@
 	return u.downSince.Load() != 0
 }
 
-// markDown notes at now that the endpoint does not answer, and whether it has surely ended.
+// markDown records at now that the endpoint does not answer, and whether it has certainly ended.
 func (u *usage) markDown(now time.Time, ended bool) {
 	u.downSince.Store(now.UnixNano())
 	u.silentAt.Store(now.UnixNano())
@@ -240,27 +237,27 @@
 	u.ended.Store(ended)
 }
 
-// passed reports whether an event has just come through the endpoint.
+// hasRecentEvent reports whether an event has just come through the endpoint.
 func (u *usage) passed(now time.Time) bool {
 	return now.UnixNano()-u.eventAt.Load() < int64(passedFresh)
 }
 
-// stallWait is how long an endpoint is passed over that held requests up: most
-// have ended, and come back under another ID. The time doubles with each further
-// stall.
+// stallWait is how long an endpoint that held requests up is avoided: most have ended, and return
+// under another ID. The time doubles with each further stall.
 var stallWait = backoff.Backoff{Base: 3 * time.Second, Max: 12 * time.Second}
 
-// stall notes at now that the endpoint held requests up.
+// noteStall records at now that the endpoint held requests up.
 func (u *usage) stall(now time.Time) {
 	u.stalledUntil.Store(now.Add(stallWait.Delay(int(u.stalls.Add(1)), 0)).UnixNano())
 }
 
-// maxTogether bounds how many requests of other gateways count for each of this one: it
-// may have the only one of a few.
+// maxFleetFactor bounds how many requests of all gateways count for each one of this gateway, which
+// may have only one of a few.
 const maxTogether = 64
 
-// together returns how many requests of all gateways there are at the endpoint for each of
-// this one. When it is lost they are all moved at once, and each gateway sees only its own.
+// fleetFactor returns the number of requests of all gateways at the endpoint for each one of this
+// gateway. When the endpoint is lost they are all moved at once, and each gateway sees only its
+// own.
 func (u *usage) together() float64 {
 	own, others := u.active.Load(), u.othersActive.Load()
 	if own <= 0 || others <= 0 {
@@ -269,7 +266,7 @@
 	return min(1+float64(others)/float64(own), maxTogether)
 }
 
-// take and release count a request that needs memory.
+// take and release count a request that needs the given memory.
 func (u *usage) take(memory int64) {
 	u.active.Add(1)
 	u.held.Add(memory)
--- a/role/gateway/follow.go
+++ b/role/gateway/follow.go
@@ -9,17 +9,18 @@
 	"github.com/grademill/grademill/state/mirror"
 )
 
-// The figures of following the store.
+// Timing of following the store.
 const (
-	// changesSettle takes changes that come together in one answer; it is small
-	// beside the seconds in which a change must be in force.
+	// changesSettle is the time for which changes are batched into one answer; it is small compared
+	// with the seconds within which a change must be in force.
 	changesSettle = 600 * time.Millisecond
-	// lapseGrace is how long after an outage of the store a record that lapsed
-	// may be missing: endpoints that live are back within two seconds.
+	// lapseGrace is how long after an outage of the store a lapsed record may be missing: live
+	// endpoints write theirs again within two seconds.
 	lapseGrace = 2200 * time.Millisecond
-	// gatherRest is how long a gateway that knows no other one leaves those that start with it to
-	// announce themselves, all hosts of a fleet within 0.3 s, and gatherReadings how often it reads the
-	// store for them, by stale pages, before it asks the store for changes by itself.
+	// gatherPause is the pause in which a gateway that knows no other one lets the gateways that
+	// start with it announce themselves, which all hosts of a fleet do within 0.3 s. gatherReads is
+	// how often it reads the store for them, from possibly stale pages, before it asks the store
+	// for changes itself.
 	gatherRest     = 400 * time.Millisecond
 	gatherReadings = 4
 )
@@ -32,14 +33,14 @@
 		Log: g.Log,
 		Lost: func(err error) {
 			g.failing.Store(true)
-			g.gossip.News() // so that the others find out whether they have lost it, too
+			g.gossip.News() // so that the others check whether they have lost it too
 			g.Log.Warn().Err(err).Dur("proof_age_ms", g.proofAge()).Msg("the store does not answer")
 		},
 	}
 	m.Run(ctx)
 }
 
-// put takes in a pair of the store.
+// put handles a key-value pair of the store.
 func (g *Gateway) put(p kv.Pair) {
 	if p.Key == g.Records.Catalog {
 		g.configure(p)
@@ -55,7 +56,7 @@
 	g.membership.Put(p)
 }
 
-// gone takes in that a key has gone.
+// gone handles the removal of a key.
 func (g *Gateway) gone(key string, revision uint64) {
 	if key == leaderKey {
 		g.led.Store(false)
@@ -68,11 +69,11 @@
 	g.membership.Gone(key, revision)
 }
 
-// configure puts a configuration in force, unless a later one is.
+// configure puts a configuration in force, unless a later one already is.
 func (g *Gateway) configure(p kv.Pair) {
 	c, err := g.Records.DecodeCatalog(p.Value)
 	if err != nil {
-		g.Log.Error().Err(err).Uint64("revision", p.Revision).Msg("configuration not understood, the former one stays in force")
+		g.Log.Error().Err(err).Uint64("revision", p.Revision).Msg("configuration not understood, the previous one stays in force")
 		return
 	}
 	if now := g.catalog.Load(); now != nil && c.Version <= now.Version {
@@ -83,9 +84,9 @@
 	g.Log.Info().Uint64("version", c.Version).Uint64("revision", p.Revision).Msg("configuration is in force")
 }
 
-// partial notes that a part of what had been written at a time is known: the gateway is not
-// ready yet, but who comes to it may be served. Where all gateways start at once callers have
-// nowhere else to go.
+// partial records that a part of the store as of the given time is known. The gateway is not ready
+// yet, but serves callers that come to it: when all gateways start at once, callers have nowhere
+// else to go.
 func (g *Gateway) partial(sent time.Time) {
 	g.rebuild()
 	if g.catalog.Load() == nil {
@@ -97,14 +98,14 @@
 		Msg("a part of the store has been read")
 }
 
-// unhurried reports whether no gateway is announced, nor a former life of this one: the fleet is starting,
-// and has no callers yet.
+// fleetStarting reports whether no gateway is announced, not even a former incarnation of this one:
+// then the fleet is starting, and has no callers yet.
 func (g *Gateway) unhurried() bool {
 	return g.announcer.Known() == 0
 }
 
-// unproven notes that the store has been read as it was some time ago. Another gateway is then asked for
-// what has changed since, once one is known.
+// unproven records that the store has been read in a possibly outdated state. The changes since
+// then are requested from another gateway, once one is known.
 func (g *Gateway) unproven(readings int) (rest time.Duration, again bool) {
 	g.read.Store(true)
 	if len(g.peers.Members(g.Name)) == 0 {
@@ -113,7 +114,7 @@
 	return 0, false
 }
 
-// confirm notes that all that had been written at a time is known.
+// confirm records that everything written to the store up to the given time is known.
 func (g *Gateway) confirm(sent time.Time) {
 	g.rebuild()
 	g.Meter.Store(g.cache.At())
@@ -123,7 +124,7 @@
 	}
 	g.proof.Store(max(g.proof.Load(), sent.UnixNano()))
 	if g.partition.Asked() {
-		g.gossip.News() // those that have lost the store wait for a proof from after that
+		g.gossip.News() // gateways that have lost the store wait for a proof from after that
 	}
 	if !g.loaded.Swap(true) {
 		open, left := g.membership.Roster.Size()
@@ -131,18 +132,18 @@
 	}
 }
 
-// proofAge returns how long ago the configuration in force was certainly the
-// newest. The time for which the host was suspended counts.
+// proofAge returns the age of the freshness proof: how long ago the configuration in force was
+// certainly the newest. It includes the time for which the host was suspended.
 func (g *Gateway) proofAge() time.Duration {
 	return time.Duration(g.Clock().UnixNano() - g.proof.Load())
 }
 
-// policy returns what the age of the proof allows.
+// policy returns what a gateway may do at a given age of the freshness proof.
 func (g *Gateway) policy() freshness.Policy {
 	return freshness.Policy{Revocation: g.Revocation}
 }
 
-// fresh reports whether requests with a key may be served by the proof that a request met.
+// fresh reports whether requests with a key may be served at the proof age of this request.
 func (g *Gateway) fresh(q *query) bool {
 	return g.policy().Serves(q.proofAge)
 }
--- a/role/gateway/gateway.go
+++ b/role/gateway/gateway.go
@@ -1,7 +1,8 @@
-// Package gateway is the daemon between callers and endpoints that speak HTTP
-// and walk the chain of a model themselves. It chooses where a request goes,
-// passes the answer on as it comes, and carries a stream over to another chain
-// when one breaks.
+// Package gateway is the daemon that routes requests of callers to HTTP endpoints. It chooses the
+// endpoint of a plain service or the chain of endpoints that run a model, passes the answer on as
+// it arrives, and resumes a stream on another chain when its chain breaks.
+//
+// Set the exported fields of a Gateway, start Run, and serve callers with ServeHTTP.
 package gateway
 
 import (
@@ -36,126 +37,125 @@
 	"github.com/grademill/grademill/state/watchcache"
 )
 
-// Records decodes what others keep in the store.
+// Records decodes the entries that other components write to the store.
 type Records struct {
 	// Catalog is the key of the configuration.
 	Catalog string
 	// DecodeCatalog decodes the configuration.
 	DecodeCatalog func([]byte) (*catalog.Catalog, error)
-	// EndpointID returns the endpoint that a key is the record of.
+	// EndpointID returns the ID of the endpoint whose record a key holds.
 	EndpointID func(key string) (string, bool)
 	// DecodeEndpoint decodes the record of an endpoint.
 	DecodeEndpoint func(id string, text []byte) (endpoint.Endpoint, error)
 }
 
-// Store is what a gateway needs of the store.
+// Store is the part of the store's interface that a gateway uses.
 type Store interface {
 	kv.Feed
 	announcer.Store
-	// Grant makes a lease that lapses unless it is kept alive.
+	// Grant creates a lease that lapses after ttl unless it is kept alive.
 	Grant(ctx context.Context, ttl time.Duration) (string, error)
-	// KeepAlive renews a lease, or returns a kv.NotFoundError when it lapsed.
+	// KeepAlive renews a lease. It returns a kv.NotFoundError if the lease has lapsed.
 	KeepAlive(ctx context.Context, lease string) error
-	// Revoke ends a lease; its keys go with it.
+	// Revoke ends a lease and removes its keys.
 	Revoke(ctx context.Context, lease string) error
 }
 
-// Gateway is one gateway. Set the exported fields before Run.
+// Gateway serves requests of callers. Set the exported fields before Run.
 type Gateway struct {
-	// Name is unique in the fleet, Hall is its data hall.
+	// Name is unique in the fleet, Hall is the gateway's data hall.
 	Name, Hall string
-	// Address is where other gateways reach it: digests by UDP, questions for changes of
-	// the store by TCP.
+	// Address is where other gateways reach this one: by UDP for digests, by TCP for requests for
+	// changes of the store.
 	Address string
-	// FlatFleet is the size of a fleet up to which every gateway tells every other one all
-	// and asks the store itself, 0 for overlay.FlatSize.
+	// FlatFleet is the size of a fleet up to which every gateway sends its digests to every other
+	// one and asks the store itself, 0 for overlay.FlatSize.
 	FlatFleet int
-	// LinkRate is what the host's link carries, in bytes a second, 0 when it is not
-	// known: what gateways tell each other has a bounded part of it.
+	// LinkRate is the capacity of the host's link in bytes per second, 0 when unknown. The traffic
+	// between gateways uses a bounded share of it.
 	LinkRate float64
-	// Store holds the configuration, the records of endpoints and what gateways
-	// must agree on. Records decodes what others write there.
+	// Store holds the configuration, the records of endpoints and the state on which gateways must
+	// agree. Records decodes the entries that others write there.
 	Store   Store
 	Records Records
 	// Dialect translates headers, Runners gives orders to endpoints.
 	Dialect exchange.Dialect
 	Runners runner.Control
-	// Revocation is how soon a key that was taken away must not work anywhere:
-	// requests with a key are served only while the configuration is known to
-	// have been current less than that ago, with a margin.
+	// Revocation is the time after which a revoked key must not work anywhere: requests with a key
+	// are served only while the configuration is known to have been current less than that ago,
+	// with a margin.
 	Revocation time.Duration
-	// RetryShare, RetryReserve and RetryWindow bound what all gateways together
-	// send again to a service.
+	// RetryShare, RetryReserve and RetryWindow bound the retries that all gateways together send to
+	// a service.
 	RetryShare   float64
 	RetryReserve int
 	RetryWindow  time.Duration
 	Log          zerolog.Logger
-	// Clock reads the clock by which proofs age: it goes on while the host is suspended. Nil
-	// for that of the host.
+	// Clock reads the clock that measures the age of freshness proofs: it continues while the host
+	// is suspended. Nil means the clock of the host.
 	Clock func() time.Time
-	// Silence returns why a question to an endpoint is given up: see probe.Prober.
+	// Silence returns why a question to an endpoint is given up, see probe.Prober.
 	Silence func(answered <-chan struct{}) error
-	// Meter counts what is done.
+	// Meter counts the gateway's operations.
 	Meter Meter
 
 	catalog atomic.Pointer[catalog.Catalog]
 	fleet   atomic.Pointer[fleet]
-	// proof is when the question was sent whose answer showed the newest
-	// configuration, in nanoseconds by Clock.
+	// proof is the freshness proof of the configuration: when the question was sent whose answer
+	// showed that it is the newest, in nanoseconds by Clock.
 	proof   atomic.Int64
 	started time.Time
-	// read is set once the store has been read as it was at some time, loaded once as it was at a
-	// time that is known.
+	// read is set once the store has been read in any state, loaded once it has been read as of a
+	// known time.
 	read     atomic.Bool
 	loaded   atomic.Bool
 	draining atomic.Bool
-	// failing is set while calls of the store fail, partition tells whether they do for this
+	// failing is set while calls to the store fail, partition detects whether they fail for this
 	// gateway alone.
 	failing   atomic.Bool
 	partition partition.Detector
-	// refreshed ends the rest between two questions for changes.
+	// refreshed ends the pause between two requests for changes.
 	refreshed chan struct{}
-	// running counts the requests in flight; it is closed before the process
-	// ends.
+	// running counts the requests in flight; it is closed before the process ends.
 	running turnstile.Turnstile
 	pool    upstream.Pool
 	peers   peers.Table
 	gossip  gossip.Gossip
-	// quarantine are the requests that are kept from endpoints.
+	// quarantine keeps requests that may crash endpoints from being sent.
 	quarantine quarantine.Quarantine
-	// throttling heeds what endpoints say of the requests that they take.
+	// throttling follows the limits and backoff periods that endpoints ask for.
 	throttling throttling.Throttling
-	// announcer keeps this gateway in the store.
+	// announcer keeps the announcement of this gateway in the store.
 	announcer announcer.Announcer
-	// feed is where the store's changes come from, cache what others may ask of them.
+	// feed is the source of the store's changes, cache holds those that others may ask for.
 	feed   watchcache.Feed
 	cache  watchcache.Cache
 	probes probe.Prober
 	lines  lines.Lines
 
-	// leading is set while this gateway gives orders, led while the store says that
-	// any does.
+	// leading is set while this gateway gives orders, hasLeaderKey while the store holds the key of
+	// any leader.
 	leading, led atomic.Bool
-	// directedAt is when the gateway that gives orders was last heard of, and leaderNear
-	// when it was by itself, in nanoseconds of Unix time.
+	// leaderHeardAt is when the gateway that gives orders was last heard of, and leaderDirectAt
+	// when a digest of its own last said so, in nanoseconds of Unix time.
 	directedAt, leaderNear atomic.Int64
-	// currentSince is when the store was first read, or read again after it did not
-	// answer, in nanoseconds of Unix time.
+	// currentSince is when the store was first read, or read again after an outage, in nanoseconds
+	// of Unix time.
 	currentSince atomic.Int64
-	// line is where requests of models wait for room.
+	// queue is where requests of models wait for room.
 	line admission.Line[*seat]
 
-	// retries are this gateway's part of what may be sent again.
+	// retries is this gateway's share of the retry budget.
 	retries budgets.Budgets
-	// membership keeps the endpoints, members their usages.
+	// membership tracks the endpoints, members their usages.
 	membership membership.Membership
 	members    members
 }
 
-// noProof is the age of the proof of a gateway that has none yet: beyond all bounds.
+// noProof is the initial proof age of a gateway without a freshness proof: beyond all bounds.
 const noProof = time.Hour
 
-// Run follows the store until ctx ends. The handler serves meanwhile.
+// Run follows the store until ctx ends. ServeHTTP may be called meanwhile.
 func (g *Gateway) Run(ctx context.Context) {
 	g.started = time.Now()
 	if g.Clock == nil {
@@ -189,13 +189,13 @@
 	group.Wait()
 }
 
-// The units of links.
+// Units of link rates.
 const (
 	bitsPerByte    = 8
 	bitsPerMegabit = 1e6
 )
 
-// initGossip sets up the exchange of digests, and how the others find this gateway.
+// initGossip sets up the exchange of digests, and the announcement of this gateway.
 func (g *Gateway) initGossip() {
 	self := overlay.Member{Name: g.Name, Address: g.Address, Hall: g.Hall, LinkMegabits: uint32(g.LinkRate * bitsPerByte / bitsPerMegabit)}
 	g.announcer = announcer.Announcer{
@@ -209,7 +209,7 @@
 	g.gossip.Init()
 }
 
-// counter returns where the shares of the other gateways at an endpoint are summed.
+// counter returns the usage that sums the shares of the other gateways at an endpoint.
 func (g *Gateway) counter(endpoint string) peers.Counter {
 	if b := g.fleet.Load().byID[endpoint]; b != nil {
 		return b.use
@@ -217,9 +217,9 @@
 	return nil
 }
 
-// Ready reports whether the gateway can serve: it knows the configuration, has
-// proof that it is current, and is not about to stop. It stops being ready some
-// time before it has to refuse requests, so that callers are led elsewhere.
+// Ready reports whether the gateway can serve: it knows the configuration, has a freshness proof
+// for it, and is not about to stop. It stops being ready some time before it has to refuse
+// requests, so that callers are directed elsewhere.
 func (g *Gateway) Ready() bool {
 	return g.loaded.Load() && !g.draining.Load() && !g.partition.Alone() && g.catalog.Load() != nil &&
 		g.policy().Ready(g.proofAge())
@@ -230,8 +230,8 @@
 	g.draining.Store(true)
 }
 
-// CallerLimits returns what the configuration lets callers do. Callers of a gateway
-// that alone has lost the store should make new connections.
+// CallerLimits returns the limits of the configuration for callers. Callers of a gateway that alone
+// has lost the store should open new connections, so their idle timeout is short.
 func (g *Gateway) CallerLimits() catalog.Limits {
 	c := g.catalog.Load()
 	if c == nil {
@@ -249,13 +249,13 @@
 	return g.running.Count()
 }
 
-// Close refuses further requests if none is in flight, and reports whether it
-// has. With force it does so in any case.
+// Close refuses further requests if none is in flight, and reports whether it does. With force it
+// refuses them in any case.
 func (g *Gateway) Close(force bool) bool {
 	return g.running.Close(force)
 }
 
-// ReadyHandler answers 200 while the gateway is ready.
+// ReadyHandler answers 200 while the gateway is ready and 503 otherwise.
 func (g *Gateway) ReadyHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !g.Ready() {
--- a/role/gateway/handler.go
+++ b/role/gateway/handler.go
@@ -13,22 +13,22 @@
 	"github.com/grademill/grademill/decide/fingerprint"
 )
 
-// The figures of taking a request in.
+// Defaults for incoming requests.
 const (
-	// defaultPatience is how long a caller is taken to wait when it does not say.
+	// defaultCallerTimeout is how long a caller is assumed to wait when it does not say.
 	defaultPatience = 30 * time.Second
-	// defaultBody bounds a body where the configuration does not.
+	// defaultMaxBody bounds a body, in bytes, where the configuration does not.
 	defaultBody = 4 << 20
-	// comeBackSoon is when a caller is told to come back after a refusal that is
-	// due to load, comeBackLater when the gateway waits for the store.
+	// retryAfterOverload is the Retry-After delay of a refusal due to load, retryAfterStore that of
+	// one where the gateway waits for the store.
 	comeBackSoon  = 250 * time.Millisecond
 	comeBackLater = 600 * time.Millisecond
-	// defaultPriority is that of a request without one.
+	// defaultPriority is the priority of a request without one.
 	defaultPriority = 5
 	maxPriority     = 9
 )
 
-// The outcomes of requests, as the logs and metrics name them.
+// Outcomes of requests, as the logs and metrics name them.
 const (
 	outcomeServed   = "served"
 	outcomeNotRun   = "not run"
@@ -64,8 +64,8 @@
 	}
 }
 
-// admit checks a request and reports whether it is to be served. When it is not,
-// the answer has been given.
+// admit checks a request and reports whether it is to be served. When it returns false it has
+// answered the request.
 func (g *Gateway) admit(q *query) bool {
 	ask, err := g.Dialect.Ask(q.r.Header)
 	q.Ask = ask
@@ -98,14 +98,15 @@
 		return false
 	}
 	if !g.loaded.Load() && q.service.Model == nil {
-		// A plain service has few endpoints, and those that have been read so far would get the
-		// requests of a whole fleet: one of three reset 13 of 280 that 286 gateways sent it.
+		// A plain service has few endpoints, and those read so far would get the requests of a
+		// whole fleet: an endpoint of a service with three reset 13 of 280 requests that 286
+		// gateways sent it.
 		g.refuse(q, comeBackLater, "the store has not been read yet")
 		return false
 	}
 	g.retries.First(q.service.Name, time.Now())
-	// A request under which three endpoints have ended would end each one that runs it: 57 ends
-	// in 90 s in a fleet of 33, counted on a recorded day.
+	// A request under which three endpoints have ended would crash every endpoint that runs it: in
+	// a fleet of 33, such requests ended endpoints 57 times in 90 s.
 	if left := g.quarantine.Left(q.print, q.start); left > 0 {
 		g.refuse(q, left, string(shortageQuarantine))
 		return false
@@ -113,8 +114,8 @@
 	return true
 }
 
-// bound returns the smaller of a caller's patience and a route's timeout, of
-// which either may be missing.
+// requestTimeout returns the smaller of a caller's time limit and a route's timeout, either of
+// which may be missing.
 func bound(patience, timeout time.Duration) time.Duration {
 	if patience <= 0 {
 		patience = defaultPatience
@@ -125,8 +126,8 @@
 	return min(patience, timeout)
 }
 
-// authorize finds the team of the caller's key. A key that was taken away must
-// not work, so it is looked up only while the configuration is surely current.
+// authorize finds the team of the caller's key. A revoked key must not work, so keys are accepted
+// only while the configuration is known to be current.
 func (g *Gateway) authorize(q *query, c *catalog.Catalog) bool {
 	if q.route.Public || !c.HasTeams() {
 		return true
@@ -172,8 +173,8 @@
 	return true
 }
 
-// rejectByCatalog rejects a request by what the configuration says, if that is
-// known to be current; another gateway may know better.
+// rejectByCatalog rejects a request because of the configuration if that is known to be current;
+// otherwise another gateway may have a newer one.
 func (g *Gateway) rejectByCatalog(q *query, status int, reason string) {
 	if !g.fresh(q) {
 		g.refuse(q, g.elsewhere(q.start), "the configuration is not known to be current")
@@ -188,8 +189,7 @@
 	g.answer(q, status, reason)
 }
 
-// refuse answers a request that has not run and will not run, and says when to
-// come back.
+// refuse answers a request that has not run and will not run, with a Retry-After delay.
 func (g *Gateway) refuse(q *query, comeBack time.Duration, reason string) {
 	q.set(http.StatusServiceUnavailable, outcomeNotRun, reason)
 	q.comeBack = comeBack
@@ -197,14 +197,14 @@
 	g.answer(q, http.StatusServiceUnavailable, reason)
 }
 
-// fail answers a request that was given up on and may have run.
+// fail answers a request that was given up and may have run.
 func (g *Gateway) fail(q *query, status int, reason string) {
 	q.set(status, outcomeFailed, reason)
 	g.answer(q, status, reason)
 }
 
-// giveUp ends a request whose tries are used up: it is refused when nothing can
-// have run, and has failed otherwise.
+// giveUp ends a request that has no attempts left: it is refused when nothing can have run, and has
+// failed otherwise.
 func (g *Gateway) giveUp(q *query, reason string) {
 	switch {
 	case q.callerLeft():
@@ -220,25 +220,25 @@
 	}
 }
 
-// comeBack returns when the caller of a request that is refused at now for want of room is to come back.
+// retryAfter returns the Retry-After delay of a request that is refused at now for lack of room.
 func (g *Gateway) comeBack(q *query, now time.Time) time.Duration {
 	wait := comeBackSoon
-	if q.service.Model != nil || q.nextTaker() != nil { // callers that came back together would be refused together
+	if q.service.Model != nil || q.nextTaker() != nil { // callers that retried at the same time would be refused at the same time
 		wait, q.admitted = g.line.ComeBack(q.waiting(), now)
 	}
 	return max(wait, q.takenFrom(now).Sub(now))
 }
 
-// answer writes an answer of the gateway's own.
+// answer writes an answer of the gateway itself.
 func (g *Gateway) answer(q *query, status int, reason string) {
 	h := q.w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(reason)+1))
 	q.w.WriteHeader(status)
-	_, _ = io.WriteString(q.w, reason+"\n") // a caller that has left cannot be told
+	_, _ = io.WriteString(q.w, reason+"\n") // the caller may have left
 }
 
-// ended logs and counts a request that has ended.
+// logEnd logs and counts a request that has ended.
 func (g *Gateway) ended(q *query) {
 	now := time.Now()
 	kind, route := "", ""
@@ -260,11 +260,11 @@
 	if q.print != 0 {
 		line = line.Stringer("print", q.print)
 	}
-	if q.last != nil { // what this gateway believed of the endpoint when it sent the request there
+	if q.last != nil { // the record by which this gateway chose the endpoint
 		line = line.Str("endpoint", q.last.ID).Uint64("record_revision", q.last.Revision).
 			Dur("record_age_ms", q.sentAt.Sub(q.last.Since))
 	}
-	if q.route != nil && q.Patience > 0 { // of a caller that has come back, what its earlier tries took
+	if q.route != nil && q.Patience > 0 { // for a caller that retries: the time that its earlier attempts took
 		line = line.Dur("under_route_ms", max(q.route.Timeout-q.Patience, 0))
 	}
 	if q.service != nil && q.service.Model != nil {
--- a/role/gateway/holding.go
+++ b/role/gateway/holding.go
@@ -7,7 +7,7 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// noteHeld notes at a time what the endpoint says that it holds.
+// noteHeld records the layers that the endpoint reported at a time.
 func (b *backend) noteHeld(held layer.Range, at time.Time) {
 	if held == b.Layers {
 		b.use.holding.Store(nil)
@@ -16,7 +16,7 @@
 	b.use.holding.Store(&holding.Holding{Held: held, Recorded: b.Layers, At: at})
 }
 
-// misheld returns what the endpoint said that it holds, and reports whether that counts beside its record.
+// misheld returns the layers that the endpoint reported, and whether they count beside its record.
 func (b *backend) misheld(now time.Time) (layer.Range, bool) {
 	h := b.use.holding.Load()
 	if h == nil || !h.Counts(b.Layers, now, recordLag) {
--- a/role/gateway/intake.go
+++ b/role/gateway/intake.go
@@ -8,16 +8,16 @@
 	"github.com/grademill/grademill/role/throttling"
 )
 
-// initThrottling sets up what heeds the words of endpoints.
+// initThrottling sets up the handling of the limits and backoff periods that endpoints ask for.
 func (g *Gateway) initThrottling() {
 	g.throttling = throttling.Throttling{Name: g.Name, Peers: &g.peers, Every: g.gossip.Every, Left: g.hearLeaving, Log: g.Log}
 }
 
-// maxHeld bounds the endpoints that the log of a request names as those that took it not.
+// maxLoggedHeld bounds the endpoints that the log entry of a request names as not accepting it.
 const maxHeld = 4
 
-// noteHeld notes which of the endpoints that hold a request off at now may take it first and, at its
-// first look, why each does not, for the log.
+// noteHeld records which of the endpoints that did not accept a request at now may accept it first.
+// On the first search it also records the reason of each, for the log.
 func (g *Gateway) noteHeld(q *query, held []*backend, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -39,9 +39,9 @@
 	q.looked = true
 }
 
-// awaitIntake waits, in place of being refused, until an endpoint of a plain service takes a request
-// again, and reports whether that comes while the answer can be in time: a request whose turn would come
-// later, behind those that wait already, is refused at once.
+// awaitIntake waits until an endpoint of a plain service accepts requests again, instead of
+// refusing the request. It returns false at once when the endpoint would, after the requests
+// already waiting, accept it too late for an answer in time.
 func (g *Gateway) awaitIntake(q *query) bool {
 	b := q.nextTaker()
 	if b == nil || q.r.Context().Err() != nil {
--- a/role/gateway/isolation.go
+++ b/role/gateway/isolation.go
@@ -9,24 +9,24 @@
 	"github.com/grademill/grademill/state/suspects"
 )
 
-// The figures of trying the requests that may have ended endpoints.
+// Timing of the isolated attempts of requests that may have crashed endpoints.
 const (
-	// isolationWait is how long a suspect waits before it is tried, so that all gateways know of the
-	// suspects and keep them apart: a digest, and one more for a lost one. It is the time between
-	// two looks whether an endpoint is free, too.
+	// isolationWait is how long a suspect waits before it is tried, so that all gateways know of
+	// the suspects and isolate them: one digest interval, and one more in case a digest is lost. It
+	// is also the interval between two checks whether an endpoint is free.
 	isolationWait = 200 * time.Millisecond
-	// isolationPatience bounds the wait for an endpoint: the word of another gateway on a suspect
-	// that has run to its end counts for three seconds.
+	// isolationTimeout bounds the wait for an endpoint. A report by another gateway that a suspect
+	// has run to its end counts for three seconds.
 	isolationPatience = 4 * time.Second
 )
 
-// suspected reports whether endpoints have ended under a request so often that it is tried apart
-// from all others of which that is so.
+// suspected reports whether endpoints have ended under a request so often that it is tried isolated
+// from all other such requests.
 func (g *Gateway) suspected(q *query) bool {
 	return g.quarantine.Suspected(q.print, time.Now())
 }
 
-// isolated returns at which endpoints of a service suspects are tried at now.
+// isolationPlan returns at which endpoints of a service suspects are tried at now.
 func (g *Gateway) isolated(service string, now time.Time) isolation.Plan {
 	list := g.quarantine.Suspects(now)
 	if len(list) == 0 {
@@ -47,8 +47,8 @@
 	return isolation.New(list, slices.Sorted(slices.Values(endpoints)))
 }
 
-// awaitIsolation waits until a request may be sent on, for as long as its caller may wait: at once
-// unless it is a suspect. It returns why it may not.
+// awaitIsolation waits until a request may be sent on, within its deadline; a request that is no
+// suspect need not wait. It returns the reason why the request may not be sent.
 func (g *Gateway) awaitIsolation(q *query) shortage {
 	until := time.Now().Add(min(isolationPatience, q.left(time.Now())))
 	for {
@@ -75,8 +75,8 @@
 	}
 }
 
-// mayBegin reports whether a request may begin to run at an endpoint: a suspect at its own, and
-// any other where no suspect is tried.
+// mayStartAt reports whether a request may start at an endpoint: a suspect only at its own, any
+// other request only where no suspect is tried.
 func (q *query) mayBegin(b *backend, isolated isolation.Plan) bool {
 	if own := q.isolatedAt(); own != "" {
 		return b.ID == own
@@ -84,7 +84,7 @@
 	return !isolated.Reserved(b.ID)
 }
 
-// prints returns the fingerprints of requests as the log writes them.
+// fingerprints formats the fingerprints of requests for the log.
 func prints(begun []suspects.Begun) []string {
 	list := make([]string, 0, len(begun))
 	for _, b := range begun {
--- a/role/gateway/leader.go
+++ b/role/gateway/leader.go
@@ -18,29 +18,29 @@
 // leaderKey holds the name of the gateway that gives orders, under a lease.
 const leaderKey = "grademill/giver"
 
-// The figures of giving orders.
+// Timing and bounds of leadership and orders.
 const (
-	// leaderLease is how long the right to give orders lasts without renewal: a hall that
-	// loses a card meanwhile stands without a chain. The store grants no less than one
-	// second, and answers within 0.3 s also when it is slow.
+	// leaderLease is how long the right to give orders lasts without renewal: a hall that loses a
+	// card meanwhile has no chain. The store grants no less than one second, and answers within 0.3
+	// s even when it is slow.
 	leaderLease = 1500 * time.Millisecond
-	// leaderTurnWait is how long a gateway leaves the right to each one whose turn is
-	// before its own, for leaderTurns of them at most: each try is two calls of the
-	// store, and a digest tells of a new holder at once.
+	// takeoverStagger is how long a gateway waits for each gateway that ranks before it to take the
+	// right, for maxTakeoverRank gateways at most: taking it is two calls of the store, and a
+	// digest announces a new holder at once.
 	leaderTurnWait = 150 * time.Millisecond
 	leaderTurns    = 8
-	// leaderSettle is how long the store must have been read before a gateway takes the
-	// right: at the start of a fleet the others are known only by the next changes.
+	// leaderSettle is how long the store must have been read before a gateway takes the right: when
+	// a fleet starts, the other gateways become known only with the next changes.
 	leaderSettle = changesSettle + 150*time.Millisecond
 	// leaderRound is the time between two rounds of orders.
 	leaderRound = 250 * time.Millisecond
 	// renewEvery is the time between two renewals of the lease.
 	renewEvery = 500 * time.Millisecond
-	// gatherTime is how long the fleet must stay the same before a first plan:
-	// all endpoints of a new system announce themselves within a second or two.
+	// stableTime is how long the size of the fleet must stay the same before the first plan: all
+	// endpoints of a new system announce themselves within a second or two.
 	gatherTime = 1200 * time.Millisecond
-	// ordersAtOnce is the number of orders that are given at the same time: a
-	// fleet of thousands is to hold its layers before callers come.
+	// ordersAtOnce bounds the orders that are given concurrently: a fleet of thousands is to hold
+	// its layers before callers arrive.
 	ordersAtOnce = 32
 )
 
@@ -50,21 +50,20 @@
 	// fence is the revision at which the right was taken.
 	fence uint64
 	lease string
-	// size and changed are the size of the fleet and when it last changed.
+	// size is the size of the fleet, changed when it last changed.
 	size    int
 	changed time.Time
 }
 
-// ordered is an order that an endpoint carries out. All gateways know of it, so that
-// one that takes the right over goes on from there.
+// pendingOrder is an order that an endpoint carries out. All gateways know of it, so that the next
+// leader continues from there.
 type ordered struct {
 	layers layer.Range
-	// until is when it counts as lost.
+	// until is when the order counts as lost.
 	until time.Time
 }
 
-// lead takes the right to give orders whenever nobody holds it, and uses it
-// until ctx ends.
+// lead takes the right to give orders whenever nobody holds it, and uses it until ctx ends.
 func (g *Gateway) lead(ctx context.Context) {
 	var vacant time.Time
 	for ctx.Err() == nil {
@@ -85,18 +84,19 @@
 		if err := holder.take(ctx); err != nil {
 			var held *kv.ConflictError
 			if !errors.As(err, &held) {
-				g.Log.Warn().Err(err).Msg("the right to give orders was not taken")
+				g.Log.Warn().Err(err).Msg("the right to give orders could not be taken")
 			}
 			pause.For(ctx, renewEvery)
 			continue
 		}
 		holder.hold(ctx)
-		_ = g.Store.Revoke(context.WithoutCancel(ctx), holder.lease) // it lapses otherwise
+		_ = g.Store.Revoke(context.WithoutCancel(ctx), holder.lease) // the lease lapses otherwise
 	}
 }
 
-// leaderTurn returns how long this gateway leaves the right to others after the store has
-// said that nobody holds it: longer while one of them says that it does.
+// takeoverDelay returns how long this gateway waits for others to take the right after the store
+// has said that nobody holds it. It waits longer while another gateway reports that it holds the
+// right.
 func (g *Gateway) leaderTurn(now time.Time) time.Duration {
 	turn := min(g.gossip.Overlay().Turn(leaderKey), leaderTurns)
 	if g.directed(now) {
@@ -105,7 +105,7 @@
 	return time.Duration(turn) * leaderTurnWait
 }
 
-// take takes the right.
+// acquire takes the right to give orders.
 func (o *leader) take(ctx context.Context) error {
 	lease, err := o.g.Store.Grant(ctx, leaderLease)
 	if err != nil {
@@ -139,8 +139,7 @@
 	}
 }
 
-// round gives one round of orders. It returns false when another leader has taken
-// over.
+// round gives one round of orders. It returns false when another leader has taken over.
 func (o *leader) round(ctx context.Context) bool {
 	f, c := o.g.fleet.Load(), o.g.catalog.Load()
 	now := time.Now()
@@ -154,7 +153,7 @@
 		cards := o.cards(service.Model, f.open[name], now)
 		if holdsAny(cards) {
 			if now.UnixNano()-o.g.currentSince.Load() < int64(lapseGrace) {
-				continue // records that lapsed with the store come back
+				continue // records that lapsed during the outage are written again
 			}
 		} else if now.Sub(o.changed) < gatherTime {
 			continue
@@ -172,14 +171,14 @@
 	return slices.ContainsFunc(cards, func(c spread.Card) bool { return !c.Holds.Empty() })
 }
 
-// orders gives the orders of a plan, several at the same time. It returns false
-// when another leader has taken over.
+// orders gives the orders of a plan, several concurrently. It returns false when another leader has
+// taken over.
 func (o *leader) orders(ctx context.Context, f *fleet, moves []spread.Move, now time.Time) bool {
 	for _, m := range moves {
 		f.byID[m.ID].use.setOrdered(m.Layers, now)
 	}
 	if len(moves) > 0 {
-		o.g.gossip.News() // should this process end now, another one goes on
+		o.g.gossip.News() // if this process ends now, another leader continues
 	}
 	var group sync.WaitGroup
 	turns := make(chan struct{}, ordersAtOnce)
@@ -195,7 +194,7 @@
 	return !slices.Contains(results, orderReplaced)
 }
 
-// cards lists the endpoints of a model as the planner sees them.
+// cards lists the endpoints of a model in the form that the planner needs.
 func (o *leader) cards(m *catalog.Model, open []*backend, now time.Time) []spread.Card {
 	cards := make([]spread.Card, 0, len(open))
 	for _, b := range open {
--- a/role/gateway/members.go
+++ b/role/gateway/members.go
@@ -9,16 +9,16 @@
 	"github.com/grademill/grademill/state/roster"
 )
 
-// members are the usages of the endpoints that the store names.
+// members holds the usages of the endpoints that have a record in the store.
 type members struct {
-	// reconfigured is set when a configuration has come that may name other services.
+	// reconfigured is set when a new configuration may name other services.
 	reconfigured atomic.Bool
 
-	mu    sync.Mutex // guards usage, and that one fleet is made at a time
+	mu    sync.Mutex // guards usage, and serializes the construction of fleets
 	usage map[string]*usage
 }
 
-// initMembership sets up what keeps the endpoints.
+// initMembership sets up the tracking of endpoints.
 func (g *Gateway) initMembership() {
 	g.members.usage = make(map[string]*usage)
 	g.membership = membership.Membership{
@@ -27,8 +27,8 @@
 	}
 }
 
-// takeUsage forgets the usage of an endpoint and the connections to it, and returns it as a backend; nil
-// when it was not used.
+// removeUsage removes the usage of an endpoint and the connections to it, and returns it as a
+// backend; nil when it was not used.
 func (g *Gateway) takeUsage(r roster.Record) *backend {
 	g.pool.Drop(r.Address)
 	g.probes.Forget(r.Address)
@@ -42,22 +42,23 @@
 	return &backend{Record: r, use: u}
 }
 
-// dropped forgets an endpoint that has no record any more.
+// dropped removes an endpoint whose record is gone.
 func (g *Gateway) dropped(r roster.Record) {
-	if b := g.takeUsage(r); b != nil && b.use.down() { // its record has lapsed, too
+	if b := g.takeUsage(r); b != nil && b.use.down() { // silent, and its record has lapsed
 		g.endedAfterSilence(b, time.Now())
 	}
 }
 
-// restarted ends a former life of an endpoint that has started again under its ID: what ran there is
-// lost, and nothing that was known or ordered counts for the new life.
+// restarted ends the former incarnation of an endpoint that has started again under its ID: the
+// requests that ran there are lost, and nothing known or ordered carries over to the new
+// incarnation.
 func (g *Gateway) restarted(former roster.Record) {
 	if b := g.takeUsage(former); b != nil {
 		g.lifeEnded(b, time.Now())
 	}
 }
 
-// hearLeaving takes in that an endpoint has said by itself that it leaves.
+// handleLeaving records that an endpoint has announced that it leaves.
 func (g *Gateway) hearLeaving(endpoint string) {
 	if b := g.fleet.Load().byID[endpoint]; b != nil {
 		g.membership.Leaves(b.Endpoint)
@@ -65,7 +66,7 @@
 	}
 }
 
-// rebuild makes the fleet anew if endpoints have changed.
+// rebuild constructs the fleet anew if endpoints or services have changed.
 func (g *Gateway) rebuild() {
 	g.members.mu.Lock()
 	defer g.members.mu.Unlock()
@@ -77,8 +78,8 @@
 	g.Meter.Fleet(g.membership.Roster.Size())
 }
 
-// backends returns the endpoints of the services that the configuration names. Others may have
-// the address of one of these. The lock of the members is held.
+// backends returns the endpoints of the services that the configuration names. Endpoints of other
+// services may share an address with one of these. The caller holds members.mu.
 func (g *Gateway) backends() []*backend {
 	c := g.catalog.Load()
 	records := g.membership.Roster.Records()
--- a/role/gateway/order.go
+++ b/role/gateway/order.go
@@ -9,40 +9,40 @@
 	"github.com/grademill/grademill/port/runner"
 )
 
-// The figures of orders.
+// Timing of orders.
 const (
-	// orderWait is how long an order is taken to be under way after it was given: the
-	// record of the endpoint tells of it within a heartbeat or two after the loading.
+	// orderWait is how long an order is assumed to be under way: the record of the endpoint shows
+	// its result within a heartbeat or two after the loading.
 	orderWait = 8 * time.Second
-	// unansweredWait is how long an order without an answer is taken to be under way.
-	// The next one names the same count of orders, so that only one is carried out.
+	// unansweredWait is how long an order without an answer is assumed to be under way. The next
+	// order carries the same order count, so that only one of them is carried out.
 	unansweredWait = 2 * time.Second
-	// recordLag is how long the record of an endpoint may tell of other layers than its
-	// report: a heartbeat, and the time in which changes are taken together.
+	// recordLag is how long the record of an endpoint may name other layers than its report: one
+	// heartbeat, and the time for which changes are batched.
 	recordLag = 2 * time.Second
 )
 
-// orderResult says what became of an order.
+// orderResult is the result of an order.
 type orderResult string
 
 const (
-	// orderTaken is an order that the endpoint carries out.
+	// orderTaken means that the endpoint carries the order out.
 	orderTaken orderResult = "taken"
-	// orderBusy is one that was not given, since another is being carried out.
+	// orderBusy means that the order was not sent, since another is being carried out.
 	orderBusy orderResult = "busy"
-	// orderStale is one that was not given, since the endpoint holds other layers than
-	// the plan was made for.
+	// orderStale means that the order was not sent, since the endpoint holds other layers than the
+	// plan assumed.
 	orderStale orderResult = "stale"
-	// orderRefused is one that the endpoint has not taken.
+	// orderRefused means that the endpoint refused the order.
 	orderRefused orderResult = "refused"
-	// orderReplaced is one that it has not taken since another gateway gives orders.
+	// orderReplaced means that the endpoint refused the order because another gateway gives orders.
 	orderReplaced orderResult = "replaced"
-	// orderUnanswered is one that may be carried out, now or later.
+	// orderUnanswered means that the order may be carried out, now or later.
 	orderUnanswered orderResult = "no answer"
 )
 
-// order gives one order, and notes what the endpoint will hold then. What still passes
-// through an endpoint that no gateway uses is lost already, and is not waited for.
+// order gives one order, and records what the endpoint will hold after it. Requests that still pass
+// through an endpoint that no gateway uses are already lost, so the order does not wait for them.
 func (o *leader) order(ctx context.Context, b *backend, layers layer.Range) orderResult {
 	ctx, cancel := context.WithTimeout(ctx, leaderLease)
 	defer cancel()
@@ -72,7 +72,7 @@
 	return result
 }
 
-// resultOf returns what an error of an order means.
+// resultOf returns the result that an error of an order stands for.
 func resultOf(err error) orderResult {
 	var refused *runner.RefusedError
 	switch {
@@ -84,8 +84,8 @@
 	return orderRefused
 }
 
-// afterOrder returns what an endpoint is taken to carry out after an order for layers had
-// a result; nil when its record says all.
+// afterOrder returns the order that an endpoint is assumed to carry out after an order for layers
+// had a result; nil when its record is authoritative.
 func afterOrder(result orderResult, layers layer.Range, report runner.Report, b *backend, now time.Time) *ordered {
 	switch result {
 	case orderTaken:
@@ -94,7 +94,7 @@
 		return &ordered{layers: layers, until: now.Add(unansweredWait)}
 	case orderStale:
 		return &ordered{layers: report.Layers, until: now.Add(recordLag)}
-	case orderBusy: // with what is not known; it keeps what it holds until then
+	case orderBusy: // the other order is not known; until then the endpoint keeps its layers
 		return &ordered{layers: b.Layers, until: now.Add(leaderRound)}
 	}
 	return nil
--- a/role/gateway/partition.go
+++ b/role/gateway/partition.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// restPartitioned is how long a caller's connection may rest at a gateway that alone has lost
-// the store.
+// idleTimeoutPartitioned is how long a caller's connection may be idle at a gateway that alone has
+// lost the store.
 const restPartitioned = 100 * time.Millisecond
 
-// initPartition sets up what tells the loss of the store by this gateway alone from an outage.
+// initPartition sets up the detector that distinguishes a loss of the store by this gateway alone
+// from an outage of the store.
 func (g *Gateway) initPartition() {
 	g.refreshed = make(chan struct{}, 1)
-	d := &g.partition // requests may come already, and look whether this gateway is alone
+	d := &g.partition // requests may already arrive and read whether this gateway is alone
 	d.Hall, d.Policy, d.Peers = g.Hall, g.policy(), &g.peers
 	d.Age, d.Proven = g.proofAge, func() time.Time { return time.Unix(0, g.proof.Load()) }
 	d.Loaded, d.Failing, d.Refresh = &g.loaded, &g.failing, g.refresh
@@ -17,17 +18,17 @@
 	d.Init()
 }
 
-// refresh has the store asked at once whether it is there.
+// refresh has the store asked at once whether it answers.
 func (g *Gateway) refresh() {
 	g.feed.Refresh()
 	select {
 	case g.refreshed <- struct{}{}:
-	default: // it does not rest
+	default: // a refresh is already pending
 	}
 }
 
-// elsewhere returns when a caller that this gateway cannot serve for want of the
-// store should come back.
+// retryAfterOutage returns the Retry-After delay of a request that this gateway cannot serve
+// without the store.
 func (g *Gateway) elsewhere(now time.Time) time.Duration {
 	if wait, ok := g.partition.Elsewhere(now); ok {
 		return wait
--- a/role/gateway/plain.go
+++ b/role/gateway/plain.go
@@ -11,19 +11,19 @@
 	"github.com/grademill/grademill/decide/throttle"
 )
 
-// The figures of plain services.
+// Timing and weights of plain services.
 const (
-	// silenceDefault is how long a repeatable request waits for an endpoint before
-	// it goes to another where the route has no objective; otherwise it waits for
-	// as long as that.
+	// defaultAnswerWait is how long a repeatable request waits for an endpoint before it goes to
+	// another where the route has no objective; otherwise it waits for the objective.
 	silenceDefault = 400 * time.Millisecond
-	// maxSends bounds the endpoints that one request is sent to.
+	// maxSends bounds the endpoints to which one request is sent.
 	maxSends = 4
-	// loadFresh is how long an endpoint's word about its load is believed.
+	// loadFresh is how long the load that an endpoint reported counts.
 	loadFresh = 500 * time.Millisecond
-	// failingWeight is how much the share of failures weighs beside load.
+	// failingWeight is the weight of the failure rate relative to load.
 	failingWeight = 8
-	// farWeight is what another data hall weighs, in requests.
+	// otherHallWeight is the extra load, in requests, attributed to an endpoint in another data
+	// hall.
 	farWeight = 0.3
 )
 
@@ -70,16 +70,16 @@
 	g.giveUp(q, reason)
 }
 
-// candidates are the backends of a plain service as one request finds them.
+// candidates are the backends of a plain service that a request may use.
 type candidates struct {
-	// free may be sent to, limited have no part of their limit left for this gateway, and resting
-	// take nothing for another reason.
+	// free accept requests, limited have no share of their limit left for this gateway, and resting
+	// accept nothing for another reason.
 	free, limited, resting []*backend
-	// spare is one that is passed over and takes requests, nil for none.
+	// spare is a backend that is avoided but accepts requests, nil for none.
 	spare *backend
 }
 
-// candidates returns the backends that a request may go to at now.
+// candidates returns the backends to which a request may go at now.
 func (g *Gateway) candidates(q *query, now time.Time) candidates {
 	var c candidates
 	isolated := g.isolated(q.service.Name, now)
@@ -102,9 +102,9 @@
 	return c
 }
 
-// pick returns the backend of a plain service that is the least loaded, by what
-// this gateway has there, what the endpoint said lately, and how often it fails.
-// One that takes nothing for now is not returned even where there is no other.
+// pick returns the least loaded backend of a plain service, by the requests of this gateway, the
+// load that the endpoint reported recently, and its failure rate. A backend that accepts nothing
+// for now is not returned even if it is the only one.
 func (g *Gateway) pick(q *query) *backend {
 	now := time.Now()
 	c := g.candidates(q, now)
@@ -130,7 +130,7 @@
 	return best
 }
 
-// load returns how loaded a backend of a plain service looks.
+// load returns the load score of a backend of a plain service.
 func (g *Gateway) load(b *backend, now time.Time) float64 {
 	score := float64(b.use.active.Load() + b.use.othersActive.Load())
 	if now.UnixNano()-b.use.said.Load() < int64(loadFresh) {
@@ -142,8 +142,8 @@
 	return (score + 1) * (1 + failingWeight*b.use.health.Load().Failing)
 }
 
-// tryPlain sends the request to a backend. It reports whether the request has
-// ended, or else why not.
+// attemptPlain sends the request to a backend. It reports whether the request has ended, or else
+// why not.
 func (g *Gateway) tryPlain(q *query, b *backend) (bool, string) {
 	b.use.take(0)
 	defer b.use.release(0)
@@ -160,7 +160,7 @@
 	}
 	ctx, cancel := context.WithDeadline(q.r.Context(), until)
 	defer cancel()
-	if !q.route.Repeats() { // should this process end now, that is all that is known
+	if !q.route.Repeats() { // if this process ends now, this line is the only trace of the request
 		g.Log.Info().Str("request", q.ID).Str("endpoint", b.ID).Str("address", b.Address).
 			Uint64("version", q.version).Msg("request is sent")
 	}
@@ -200,18 +200,18 @@
 	return true, ""
 }
 
-// left reports whether there is time for another try.
+// hasTime reports whether there is time for another attempt.
 func (g *Gateway) left(q *query) bool {
 	return q.left(time.Now()) > 0 && !q.callerLeft()
 }
 
-// pickOther reports whether another backend than b is there.
+// hasOther reports whether there is a backend other than b.
 func (g *Gateway) pickOther(q *query, b *backend) bool {
 	q.avoid(b.Address)
 	return g.pick(q) != nil
 }
 
-// notRunReason says why a request was not run.
+// notRunReason returns why a request was not run.
 func notRunReason(t try) string {
 	if t.err != nil {
 		return t.err.Error()
@@ -219,7 +219,7 @@
 	return "the endpoint turned it away with status " + strconv.Itoa(t.answer.Status)
 }
 
-// promises are statuses by which a caller takes a request as not run.
+// notRunStatuses are the statuses that tell a caller that the request has not run.
 var promises = map[int]bool{
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
@@ -227,7 +227,7 @@
 
 // deliver passes a whole answer on.
 func (g *Gateway) deliver(q *query, t try, body []byte) {
-	if promises[t.answer.Status] { // the endpoint ran it: its status would say otherwise
+	if promises[t.answer.Status] { // the endpoint ran it, but its status would say otherwise
 		g.fail(q, http.StatusBadGateway, "the endpoint ran the request and answered "+strconv.Itoa(t.answer.Status))
 		return
 	}
--- a/role/gateway/quarantine.go
+++ b/role/gateway/quarantine.go
@@ -9,7 +9,7 @@
 	"github.com/grademill/grademill/state/suspects"
 )
 
-// initQuarantine sets up what keeps requests from endpoints.
+// initQuarantine sets up the quarantine of requests that may have crashed endpoints.
 func (g *Gateway) initQuarantine() {
 	g.quarantine = quarantine.Quarantine{
 		Self: g.Name, Keepers: func(key string) []overlay.Member { return g.gossip.Overlay().Keepers(key) },
@@ -18,32 +18,32 @@
 	g.quarantine.Init()
 }
 
-// life returns the life of the endpoint that its record tells of.
+// incarnation returns the incarnation that the record of the endpoint names.
 func (b *backend) life() suspects.Life {
 	return suspects.Life{Endpoint: b.ID, Born: b.Born}
 }
 
-// endedAfterSilence notes at now that an endpoint that had been found silent has surely ended:
-// silence alone may be a cut between it and this gateway.
+// endedAfterSilence records at now that an endpoint that had been found silent has certainly ended:
+// silence alone may be a network partition between it and this gateway.
 func (g *Gateway) endedAfterSilence(b *backend, now time.Time) {
 	if begun := b.use.begun.Swap(nil); begun != nil {
 		g.quarantine.Report(b.life(), *begun, now)
 	}
 }
 
-// lifeEnded notes at now that the life of an endpoint has surely ended: what ran there is lost,
-// and the requests that it had just begun are suspect.
+// incarnationEnded records at now that the incarnation of an endpoint has certainly ended: its
+// requests are lost, and those that it had just started become suspects.
 func (g *Gateway) lifeEnded(b *backend, now time.Time) {
 	g.endedAfterSilence(b, now)
-	begun := b.use.watchers.begun(b.ID, now) // before those that wait for a check let go of it
+	begun := b.use.watchers.begun(b.ID, now) // before the watchdogs that wait for a check unregister
 	b.use.markDown(now, true)
 	b.use.watchers.kick()
 	g.quarantine.Report(b.life(), begun, now)
 	g.quarantine.Review(now)
 }
 
-// endedUnder reports the end of an endpoint of a plain service that gave a request no whole
-// answer, if its process has ended.
+// endedUnder reports the end of an endpoint of a plain service that gave a request no whole answer,
+// if its process has ended.
 func (g *Gateway) endedUnder(q *query, b *backend) {
 	if !q.reached.Load() || q.r.Context().Err() != nil {
 		return
@@ -54,8 +54,8 @@
 	}
 }
 
-// over reports whether a life of an endpoint has surely ended: its record is gone or that of
-// another life, or the endpoint does not answer. Otherwise it is checked.
+// over reports whether an incarnation has certainly ended: its record is gone or names another
+// incarnation, or the endpoint does not answer. Otherwise the endpoint is checked.
 func (g *Gateway) over(l suspects.Life) bool {
 	b := g.fleet.Load().byID[l.Endpoint]
 	if b == nil || b.Born != 0 && l.Born != 0 && b.Born != l.Born || b.use.dead(time.Now()) || b.use.ended.Load() {
@@ -66,7 +66,7 @@
 }
 
 // withheld returns why a request is sent to no endpoint: its caller has left, or it is in
-// quarantine; shortageNone when neither is so.
+// quarantine; shortageNone when neither is the case.
 func (g *Gateway) withheld(q *query) shortage {
 	switch {
 	case ingress.Left(q.r.Context()):
--- a/role/gateway/query.go
+++ b/role/gateway/query.go
@@ -13,7 +13,7 @@
 	"github.com/grademill/grademill/port/exchange"
 )
 
-// query is one request of a caller on its way.
+// query is one request of a caller while it is served.
 type query struct {
 	w http.ResponseWriter
 	r *http.Request
@@ -26,104 +26,105 @@
 	priority int
 	body     []byte
 	hasBody  bool
-	// print tells the request from others when it comes again under another ID.
+	// fingerprint identifies the request when it is sent again under another ID.
 	print fingerprint.Fingerprint
-	// version is that of the configuration that decided.
+	// version is the version of the configuration that admitted the request.
 	version uint64
-	// proofAge is how old the proof of that configuration was.
+	// proofAge was the age of the freshness proof of that configuration.
 	proofAge time.Duration
 
 	start    time.Time
 	deadline time.Time
 
-	// sends counts the endpoints that the request was sent to, ran are those that may
-	// have run it.
+	// sends counts the endpoints to which the request was sent; ran lists those that may have run
+	// it.
 	sends int
 	ran   []*backend
-	// last is the endpoint that it was last sent to, nil for none, and sentAt when that was.
+	// last is the endpoint to which it was last sent, nil for none, and sentAt when that was.
 	last   *backend
 	sentAt time.Time
 	// mayHaveRun is set once an endpoint may have run the request.
 	mayHaveRun bool
-	// arrived is set once a send may have reached an endpoint: only what follows it
-	// counts as a retry.
+	// everReached is set once any send may have reached an endpoint: only later sends count as
+	// retries.
 	arrived atomic.Bool
-	// gone is set once its caller is known to have closed the connection.
+	// callerGone is set once the caller is known to have closed the connection.
 	gone bool
-	// reached is set once the endpoint of the send under way may have got the request.
+	// reached is set once the endpoint of the current send may have received the request.
 	reached atomic.Bool
 
-	// apart is set once it has waited for all gateways to know of the suspects.
+	// isolationWaited is set once the request has waited for all gateways to know of the suspects.
 	apart bool
 
-	// returned is set when its caller has less time than callers usually have when they
-	// come first.
+	// returned is set when the caller has less time left than callers usually have on their first
+	// attempt.
 	returned bool
-	// seen is what it saw when it last found no chain.
+	// lastSearch describes the last search that found no chain.
 	seen sight
-	// waited is how long it waited in line for its first seat, ahead the number of
-	// requests that waited there when it came.
+	// waited is how long the request waited in the queue for its first reservation, ahead the
+	// number of requests that were queued when it arrived.
 	waited time.Duration
 	ahead  int
-	// comeBack is when its caller was told to come back, 0 when it was not, and admitted
-	// the requests a second that it was worked out from.
+	// retryAfter is the Retry-After delay sent to the caller, 0 for none, and admitted the rate of
+	// admission, in requests per second, from which it was computed.
 	comeBack time.Duration
 	admitted float64
-	// cause is that of the next send, out of a closed set.
+	// cause is the cause of the next send, one of the cause constants.
 	cause string
-	// status, outcome and reason are what became of it, for the log.
+	// status, outcome and reason describe how the request ended, for the log.
 	status          int
 	outcome, reason string
-	// first is when the first byte of the answer went out.
+	// first is when the first byte of the answer was sent.
 	first time.Time
-	// events is the number of events passed on, pause the longest wait between
-	// two of them, carried the number of times that the stream was carried over.
+	// events is the number of events passed on, pause the longest wait between two of them, resumed
+	// the number of times that the stream was resumed on another chain.
 	events  int
 	pause   time.Duration
 	carried int
 
-	mu sync.Mutex // guards what follows
-	// tried are the addresses that are not to be tried again.
+	mu sync.Mutex // guards the fields below
+	// avoided holds the addresses that are not to be tried again.
 	tried map[string]bool
 	// used names the endpoints, for the log.
 	used []string
-	// looked is set once it has looked for an endpoint, held names those that it would have begun at
-	// and that did not take it, for the log, and next is the one of them, at the last look, that may
-	// take it first; nil when none is known to.
+	// searched is set once the request has searched for an endpoint. held names the endpoints at
+	// which it would have started but that did not accept it, for the log. next is the one of them,
+	// at the last search, that may accept it first; nil when none is known to.
 	looked bool
 	held   []string
 	next   *backend
-	// isolation is the endpoint at which it is tried apart from others under which endpoints have
-	// ended, empty while it is not suspected.
+	// isolation is the endpoint at which a suspect is tried, isolated from other suspects; empty
+	// for a request that is no suspect.
 	isolation string
-	// together is how many requests of all gateways are sent again for each of this one's,
-	// since the same endpoint was lost to them; 0 for a request that is alone.
+	// fleetFactor is the number of requests of all gateways that are sent again for each one of
+	// this gateway, since all lost the same endpoint; 0 for a single request.
 	together float64
 }
 
-// setTogether notes how many requests are sent again for each of this gateway's.
+// setFleetFactor sets the number of requests that are sent again for each one of this gateway.
 func (q *query) setTogether(n float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.together = n
 }
 
-// hasLooked reports whether the request has looked for an endpoint before.
+// hasSearched reports whether the request has searched for an endpoint before.
 func (q *query) hasLooked() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.looked
 }
 
-// nextTaker returns the endpoint that may take the request first of those that took it not at the last
-// look, nil when none is known to.
+// nextAvailable returns the endpoint that may accept the request first among those that did not
+// accept it at the last search, nil when none is known to.
 func (q *query) nextTaker() *backend {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.next
 }
 
-// takenFrom returns when that endpoint may take it, as known at now; now when there is none.
+// availableFrom returns when that endpoint may accept the request, as known at now; now when there
+// is no such endpoint.
 func (q *query) takenFrom(now time.Time) time.Time {
 	next := q.nextTaker()
 	if next == nil {
@@ -135,29 +136,29 @@
 	return now
 }
 
-// heldBy returns the endpoints that did not take the request, for the log.
+// heldBy returns the endpoints that did not accept the request, for the log.
 func (q *query) heldBy() []string {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.held
 }
 
-// companions returns how many requests of all gateways do what this one does, for each of
-// this gateway's: 1 at least.
+// requestFactor returns the number of requests of all gateways that do the same as this one, for
+// each one of this gateway, at least 1.
 func (q *query) companions() float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return max(q.together, 1)
 }
 
-// isolateAt notes at which endpoint the request is tried apart, empty for at any.
+// isolateAt sets the endpoint at which the request is tried isolated, empty for any endpoint.
 func (q *query) isolateAt(endpoint string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.isolation = endpoint
 }
 
-// isolatedAt returns the endpoint at which the request is tried apart, empty for none.
+// isolatedAt returns the endpoint at which the request is tried isolated, empty for none.
 func (q *query) isolatedAt() string {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -181,16 +182,16 @@
 	return q.tried[address]
 }
 
-// note adds to the endpoints that the log names.
+// noteUsed adds to the endpoints that the log names.
 func (q *query) note(used string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.used = append(q.used, used)
 }
 
-// runs returns the number of endpoints that may have run the request and have not surely
-// ended since: a route allows only so many. Silence is no proof, since this process may
-// be too slow to hear an endpoint that goes on.
+// runs returns the number of endpoints that may have run the request and have not certainly ended
+// since; a route bounds this number. Silence does not prove an end, since this process may be too
+// slow to receive the answers of a live endpoint.
 func (q *query) runs() int {
 	n := 0
 	for _, b := range q.ran {
@@ -201,17 +202,17 @@
 	return n
 }
 
-// callerLeft reports whether the caller has closed the connection, as far as is known.
+// callerLeft reports whether the caller is known to have closed the connection.
 func (q *query) callerLeft() bool {
 	return q.gone || errors.Is(q.r.Context().Err(), context.Canceled)
 }
 
-// left returns how long the answer is still of use.
+// timeLeft returns the time until the deadline of the request.
 func (q *query) left(now time.Time) time.Duration {
 	return q.deadline.Sub(now)
 }
 
-// set notes what became of the request.
+// setOutcome records how the request ended.
 func (q *query) set(status int, outcome, reason string) {
 	q.status, q.outcome, q.reason = status, outcome, reason
 }
--- a/role/gateway/seat.go
+++ b/role/gateway/seat.go
@@ -11,36 +11,36 @@
 	"github.com/grademill/grademill/decide/unseen"
 )
 
-// The costs of a chain beside the engines' own times, in seconds a token.
+// Costs of a chain in addition to the engines' own times, in seconds per token.
 const (
-	// hopNear is handing a token on inside a hall, hopFar to another hall; the
-	// latter is dear because all halls share its line.
+	// hopCostInHall is the cost of passing a token on within a hall, hopCostAcrossHalls to another
+	// hall; the latter is high because all halls share one link.
 	hopNear = 0.0003
 	hopFar  = 0.006
-	// entryFar is beginning in a hall other than the gateway's: it keeps gateways of
-	// different halls from choosing alike. Mean worth of the grown sites' four days of
-	// high load: 0.72 with 0.002, 0.74 with 0.004.
+	// remoteEntryCost is the cost of entering a chain in a hall other than the gateway's. It keeps
+	// gateways of different halls from choosing the same chains: under high load the mean worth of
+	// a request was 0.72 at 0.002 and 0.74 at 0.004.
 	entryFar = 0.004
-	// maxCrowding bounds how much a nearly full endpoint costs.
+	// maxMemoryFactor bounds the cost factor of a nearly full endpoint.
 	maxCrowding = 12
-	// likelyMargin is the part of its answer that a request holds on average, with
-	// a margin: it grows to the whole only in the end.
+	// heldAnswerShare is the share of its answer for which a request holds memory on average, with
+	// a margin: it holds the whole answer only at the end.
 	likelyMargin = 0.6
 )
 
-// seat is the room that a request takes along a chain.
+// reservation is the room that a request holds along a chain.
 type seat struct {
 	chain  chain.Chain
 	first  *backend
 	parts  []*backend
 	memory []int64
-	// reading is set while the prompt is read.
+	// readingPrompt is set while the endpoints read the prompt.
 	reading bool
 	// released is set once the room has been given back.
 	released bool
 }
 
-// read notes that the prompt has been read.
+// promptRead notes that the endpoints have read the prompt.
 func (s *seat) read() {
 	if !s.reading {
 		return
@@ -51,7 +51,7 @@
 	}
 }
 
-// release gives the room back, once.
+// release gives the room back. Further calls do nothing.
 func (s *seat) release() {
 	if s.released {
 		return
@@ -64,7 +64,8 @@
 	}
 }
 
-// watch and unwatch change whose watchdog is told when a part is lost.
+// addWatchdog and removeWatchdog set which watchdog is notified when an endpoint of the chain is
+// lost.
 func (s *seat) watch(w *watchdog) {
 	for _, b := range s.parts {
 		b.use.watchers.Add(w)
@@ -77,7 +78,7 @@
 	}
 }
 
-// tokens returns the number of tokens that a request is taken to need.
+// tokens returns the estimated number of tokens for which the request needs memory.
 func (q *query) tokens() int {
 	m := q.service.Model
 	prompt, likely := q.Prompt, q.LikelyAnswer
@@ -94,17 +95,16 @@
 	return prompt + likely
 }
 
-// sight is what a request saw of the endpoints when it found no chain, for the
-// log.
+// candidateCounts describes a search that found no chain, for the log.
 type sight struct {
-	// need is the number of tokens that it was taken to need.
+	// need is the estimated number of tokens of the request.
 	need int
-	// open, avoided and crowded count the endpoints with layers, those that were
-	// passed over, and those without room.
+	// open, avoided and crowded count the endpoints that hold layers, those that were avoided, and
+	// those without enough memory.
 	open, avoided, crowded int
 }
 
-// shortage says why there is no chain.
+// shortage is the reason why a request gets no chain.
 type shortage string
 
 const (
@@ -112,16 +112,16 @@
 	shortageLayers shortage = "no chain holds all layers"
 	shortageRoom   shortage = "no chain has room"
 	shortageBudget shortage = "the retry budget is used up"
-	// shortageHeld is a request all of whose first endpoints take no more for now.
+	// shortageHeld means that no endpoint at which the chain could begin accepts requests for now.
 	shortageHeld shortage = "endpoints take no more requests for now"
-	// shortageCaller is a request whose caller has left, shortageQuarantine one that is kept
-	// from endpoints.
+	// shortageCaller means that the caller has left, shortageQuarantine that the request is in
+	// quarantine.
 	shortageCaller     shortage = "the caller has left"
 	shortageQuarantine shortage = "endpoints have ended under the request"
 )
 
-// takeTry takes a seat for a try of a request, with its part of the retry budget
-// when the request has reached an endpoint before.
+// reserveAttempt makes a reservation for an attempt of a request and takes a retry from the budget
+// when the request may already have reached an endpoint.
 func (g *Gateway) takeTry(q *query, cause string) (*seat, shortage) {
 	taken, short := g.takeSeat(q)
 	if short != shortageNone {
@@ -134,8 +134,7 @@
 	return taken, shortageNone
 }
 
-// takeSeat takes room along the cheapest chain for a request, inside one hall if
-// one has room.
+// reserve reserves room for a request along the cheapest chain, preferably within one hall.
 func (g *Gateway) takeSeat(q *query) (*seat, shortage) {
 	f := g.fleet.Load()
 	c := choosers.Get().(*chooser)
@@ -145,7 +144,7 @@
 	c.together = q.companions()
 	c.isolated = g.isolated(q.service.Name, time.Now())
 	found, ok := g.findAdmitted(c, q, f, need, useSound)
-	if !ok && q.isolatedAt() == "" && !c.isolated.Empty() { // rather beside a suspect than not at all
+	if !ok && q.isolatedAt() == "" && !c.isolated.Empty() { // an endpoint at which a suspect is tried is better than none
 		c.isolated = isolation.Plan{}
 		found, ok = g.findAdmitted(c, q, f, need, useSound)
 	}
@@ -156,8 +155,8 @@
 		if _, exists := c.finder.Find(c.holders); exists {
 			return nil, short
 		}
-		// Those that seem to be down may be cut off from this gateway alone, or it
-		// may be too slow to hear them.
+		// Endpoints that seem to be down may be unreachable for this gateway alone, or this process
+		// may be too slow to receive their answers.
 		if found, ok = g.findAdmitted(c, q, f, need, useDoubtful); !ok {
 			return nil, shortageLayers
 		}
@@ -165,17 +164,17 @@
 	return newSeat(found, need, func(p chain.Part) *backend { return f.byID[p.ID] }), shortageNone
 }
 
-// others returns how the other gateways use the endpoints of a service.
+// peerFlow returns how the other gateways use the endpoints of a service.
 func (g *Gateway) others(service string) unseen.Flow {
 	return unseen.Flow{Told: g.gossip.Every(), Lasts: g.line.Times.Lasts(service)}
 }
 
-// heldTries is how many endpoints that name a limit a request may prefer in vain: what it wants of each
-// is counted. After that all those are left out that take nothing for now.
+// maxHeldPicks is the number of endpoints at their announced limit that a search may pick, so that
+// the demand for each is counted. After that, endpoints that accept nothing for now are left out.
 const heldTries = 2
 
-// findAdmitted finds the cheapest chain whose first endpoint takes a request now, and counts that
-// request there.
+// findAdmitted finds the cheapest chain whose first endpoint accepts a request now, and counts the
+// request against its limit.
 func (g *Gateway) findAdmitted(c *chooser, q *query, f *fleet, need int, use choice) (chain.Chain, bool) {
 	now := time.Now()
 	defer func() { g.noteHeld(q, c.held, now) }()
@@ -199,8 +198,8 @@
 	return nil, false
 }
 
-// find finds the cheapest chain inside one hall, or else, as far as the lines
-// between halls allow, the cheapest of all.
+// find returns the cheapest chain within one hall or, if there is none and the links between halls
+// have capacity left, the cheapest chain overall.
 func (g *Gateway) find(c *chooser, q *query, need int) (chain.Chain, bool) {
 	c.hops(math.Inf(1))
 	if found, ok := c.finder.Find(c.holders); ok {
@@ -211,9 +210,8 @@
 	return found, ok && g.lines.Allow(q.service.Model, need, g.peers.Size())
 }
 
-// moveSeat takes room along the cheapest chain that a request may be moved to
-// while it runs: the first part stays, and the others do unless they are
-// avoided, as the lost one is.
+// reserveMove reserves room along the cheapest chain to which a running request can be moved. The
+// first endpoint stays, and so do the others unless they are avoided, as the lost one is.
 func (g *Gateway) moveSeat(q *query, old *seat, lost *backend) (*seat, shortage) {
 	f := g.fleet.Load()
 	c := choosers.Get().(*chooser)
@@ -221,7 +219,7 @@
 	need := q.tokens()
 	c.prepare(q.service.Model, f, g.Hall, g.others(q.service.Name))
 	c.together = lost.use.together()
-	c.isolated = isolation.Plan{} // its first part stays
+	c.isolated = isolation.Plan{} // the first endpoint of the chain stays
 	c.collect(q, f, need, useSound)
 	c.keep(old, q, time.Now())
 	found, ok := g.find(c, q, need)
@@ -230,15 +228,15 @@
 	}
 	return newSeat(found, need, func(p chain.Part) *backend {
 		if b := old.part(p); b != nil {
-			return b // it may have left the fleet, and still serves what it has
+			return b // it may have left the fleet, and still runs its requests
 		}
 		return f.byID[p.ID]
 	}), shortageNone
 }
 
-// readTime returns how long the prompt of a request is expected to be read along the seat,
-// by the parts that an old seat has not; together is how many requests of all gateways
-// each of this one's counts for.
+// promptReadTime returns the expected time until the endpoints that were not part of the old
+// reservation have read the prompt. fleetFactor is the number of requests of all gateways for each
+// one of this gateway.
 func (s *seat) readTime(q *query, old *seat, together float64) time.Duration {
 	m := q.service.Model
 	parts := make([]reread.Part, 0, len(s.parts))
@@ -255,8 +253,8 @@
 	return reread.Time(parts, alone, together)
 }
 
-// part returns the backend of the seat that a part of a chain names, nil for none: another life
-// under its ID is elsewhere.
+// backend returns the backend of the reservation that a part of a chain names, nil for none.
+// Another incarnation with the same ID has another address.
 func (s *seat) part(p chain.Part) *backend {
 	for _, b := range s.parts {
 		if b.ID == p.ID && b.Address == p.Address {
@@ -266,7 +264,7 @@
 	return nil
 }
 
-// newSeat takes room along a chain, whose parts are the backends that of returns.
+// newReservation reserves room along a chain. backendOf maps its parts to backends.
 func newSeat(found chain.Chain, need int, of func(chain.Part) *backend) *seat {
 	s := &seat{chain: found, reading: true}
 	for _, p := range found {
--- a/role/gateway/share.go
+++ b/role/gateway/share.go
@@ -9,14 +9,15 @@
 	"github.com/grademill/grademill/state/watchcache"
 )
 
-// changesHead bounds the reading of the head of a question for changes.
+// changesHeaderTimeout bounds the reading of the header of a request for changes.
 const changesHead = 2 * time.Second
 
-// firstWords is how long a gateway that has started takes those that the store names for running: the
-// digests of a large hall are seconds apart, and by a part of them it would take others for those to ask.
+// firstDigests is how long after its start a gateway assumes that all gateways named in the store
+// are running. The digests of a large hall are seconds apart, and with only some of them received
+// it would choose the wrong gateways as sources of changes.
 const firstWords = 5 * time.Second
 
-// initFeed sets up where the store's changes come from.
+// initFeed sets up the source of the store's changes.
 func (g *Gateway) initFeed() {
 	g.feed = watchcache.Feed{
 		Store: g.Store, Source: watchhttp.NewClient(), Sources: g.sources, Cache: &g.cache, Log: g.Log,
@@ -25,8 +26,8 @@
 	}
 }
 
-// sources returns the addresses of the gateways that ask the store for this one, none when
-// it is to ask the store itself, and whether it is to do so when these have no answer.
+// sources returns the addresses of the gateways that ask the store on behalf of this one, none when
+// it is to ask the store itself, and whether it is to do so when these do not answer.
 func (g *Gateway) sources() (list []string, standby bool) {
 	o := g.gossip.Overlay()
 	if time.Since(g.started) < firstWords {
@@ -40,12 +41,12 @@
 	return list, standby
 }
 
-// serveChanges answers the questions of other gateways for changes until ctx ends.
+// serveChanges answers requests of other gateways for changes until ctx ends.
 func (g *Gateway) serveChanges(ctx context.Context) {
 	server := &http.Server{Addr: g.Address, Handler: watchhttp.Handler(&g.cache), ReadHeaderTimeout: changesHead}
-	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // who asks turns to another gateway
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // clients turn to another gateway
 	defer stop()
 	if err := server.ListenAndServe(); ctx.Err() == nil {
-		g.Log.Error().Err(err).Msg("other gateways cannot ask this one for changes")
+		g.Log.Error().Err(err).Msg("cannot serve changes of the store to other gateways")
 	}
 }
--- a/role/gateway/stream.go
+++ b/role/gateway/stream.go
@@ -15,53 +15,50 @@
 	"github.com/grademill/grademill/decide/health"
 )
 
-// The figures of streams.
+// Timing and bounds of streams.
 const (
-	// firstWait is how long the first event may take before another chain is
-	// tried, in parts of the route's objective.
+	// firstWaitFactor is how long the first event may take before another chain is tried, as a
+	// multiple of the route's objective.
 	firstWait = 3
-	// pauseWait is how long a pause may be before a chain is given up, in parts
-	// of the pause that the route allows: a caller gives up after two seconds or
-	// eight such pauses.
+	// pauseWaitFactor is how long a pause may last before a chain is given up, as a multiple of the
+	// pause that the route allows: a caller gives up after two seconds or eight such pauses.
 	pauseWait = 6
-	// pauseDefault is the pause that is allowed where the route says nothing.
+	// defaultMaxPause is the allowed pause of a route that sets none.
 	pauseDefault = 500 * time.Millisecond
-	// objectiveDefault is the objective where the route says nothing.
+	// defaultObjective is the objective of a route that sets none.
 	objectiveDefault = time.Second
-	// maxEvent bounds the size of an event.
+	// maxEvent bounds the size of an event, in bytes.
 	maxEvent = 1 << 20
-	// eventBuffer holds a few events.
+	// eventBuffer is the size of the read buffer in bytes, enough for a few events.
 	eventBuffer = 2048
-	// writeWait bounds the passing on of one event to a caller that does not
-	// read.
+	// writeWait bounds the write of one event to a caller that does not read.
 	writeWait = 10 * time.Second
-	// pollBudget is the time between two looks whether the retry budget has a retry left.
+	// pollBudget is the interval at which a stream polls the retry budget.
 	pollBudget = 15 * time.Millisecond
-	// shortWait is how long an endpoint that refused for want of room is not
-	// tried again.
+	// noRoomWait is how long an endpoint that refused for lack of room is avoided.
 	shortWait = 200 * time.Millisecond
 )
 
-// relay is a stream on its way to a caller.
+// relay passes a stream on to a caller.
 type relay struct {
 	g *Gateway
 	q *query
-	// headSent is set once the head has gone to the caller.
+	// headSent is set once the head has been sent to the caller.
 	headSent bool
-	// last is the ID of the last event that the caller has.
+	// last is the ID of the last event that was sent to the caller.
 	last string
-	// lastAt is when an event last went out.
+	// lastAt is when an event was last sent to the caller.
 	lastAt time.Time
 	flush  *http.ResponseController
 	// sentAt is when the request was last sent.
 	sentAt time.Time
-	// reserved is the seat of the next try, with its part of the retry budget, when
-	// the last try was left for it; nil otherwise.
+	// reserved is the reservation of the next attempt, already charged to the retry budget, when
+	// the last attempt was abandoned for it; nil otherwise.
 	reserved *seat
 }
 
-// serveModel serves a request of a model. It reports whether the answer has
-// broken off and must not look complete.
+// serveModel serves a request of a model. It reports whether the answer has broken off and must not
+// look complete.
 func (g *Gateway) serveModel(q *query) bool {
 	q.returned = g.line.Arrive(q.waiting())
 	s := &relay{g: g, q: q, last: q.After, flush: http.NewResponseController(q.w)}
@@ -95,10 +92,11 @@
 	return false
 }
 
-// maySendAgain reports whether the request may be sent once more. One whose caller has events is
-// not broken off for want of room: beyond the usual number of sends it waits until an endpoint
-// that refused may be tried again, for as long as its caller bears a pause. In a burst of three
-// times the traffic 24 of 33 streams that were broken off had only been refused.
+// maySendAgain reports whether the request may be sent once more. A stream whose caller already has
+// events is not broken off for lack of room: beyond the usual number of sends it waits until an
+// endpoint that refused may be tried again, for as long as the caller accepts a pause. Without
+// this, in a burst of three times the usual traffic, 24 of 33 streams that were broken off had only
+// been refused.
 func (s *relay) maySendAgain() bool {
 	if s.q.sends < maxSends {
 		return true
@@ -111,7 +109,7 @@
 	return s.q.r.Context().Err() == nil && now.Before(s.turn(now).Until)
 }
 
-// joinReasons returns why there is no further try, after why the last one ended.
+// joinReasons returns why there is no further attempt, followed by why the last one ended.
 func joinReasons(short shortage, last string) string {
 	if last == "" {
 		return string(short)
@@ -119,7 +117,7 @@
 	return string(short) + ": " + last
 }
 
-// drop gives back a seat that was reserved and is not used.
+// dropReserved releases a reservation that is not used.
 func (s *relay) drop() {
 	if s.reserved != nil {
 		s.reserved.release()
@@ -127,9 +125,9 @@
 	}
 }
 
-// seat returns the seat that the last try was left for, or takes one, with its part of
-// the retry budget when the request has reached an endpoint before. It waits in line for
-// as long as the request may.
+// nextReservation returns the reservation for which the last attempt was abandoned, or makes one,
+// and takes a retry from the budget when the request may already have reached an endpoint. It waits
+// in the queue for as long as the request may.
 func (s *relay) seat() (*seat, shortage) {
 	if short := s.g.awaitIsolation(s.q); short != shortageNone {
 		return nil, short
@@ -145,7 +143,7 @@
 	}
 	taken, short := s.g.takeTurn(s.q, turn)
 	if short == shortageNone {
-		if short = s.g.withheld(s.q); short != shortageNone { // known since, while it waited in line
+		if short = s.g.withheld(s.q); short != shortageNone { // quarantined while it waited in the queue
 			taken.release()
 		}
 	}
@@ -155,9 +153,9 @@
 	return taken, short
 }
 
-// allowed takes a retry out of the budget, and reports whether it has. A stream that has
-// begun waits for one as long as its caller does; another one is told at once, since its
-// caller can try again.
+// takeRetry takes a retry from the budget, and reports whether there was one. A stream whose caller
+// already has events waits for one as long as its caller does; any other request is refused at
+// once, since its caller can retry.
 func (s *relay) allowed(until time.Time) bool {
 	for !s.g.again(s.q, s.q.cause) {
 		if !s.headSent || !time.Now().Before(until) || s.q.r.Context().Err() != nil {
@@ -176,7 +174,7 @@
 	return r.Objective
 }
 
-// allowedPause returns how long a pause may be.
+// allowedPause returns the longest pause between two events that the route allows.
 func allowedPause(r *catalog.Route) time.Duration {
 	if r.MaxPause <= 0 {
 		return pauseDefault
@@ -184,8 +182,8 @@
 	return r.MaxPause
 }
 
-// try sends the request along a chain and passes the events on. It reports
-// whether the request has ended, or else why not.
+// attempt sends the request along a chain and passes the events on. It reports whether the request
+// has ended, or else why not.
 func (s *relay) try(seat *seat) (bool, string) {
 	q, g := s.q, s.g
 	q.note(seat.chain.String())
@@ -220,7 +218,7 @@
 	return s.events(t, seat, w)
 }
 
-// blame notes which endpoint of a chain refused.
+// noteRefusal records which endpoint of a chain refused.
 func (s *relay) blame(seat *seat, t try) {
 	address := seat.first.Address
 	if t.answer != nil && t.reply.Blamed != "" {
@@ -237,7 +235,7 @@
 		Str("reason", notRunReason(t)).Msg("chain refused the request")
 }
 
-// noteLoss notes whether the first endpoint of a try has been lost to all gateways.
+// noteLoss records whether all gateways have lost the first endpoint of an attempt.
 func (s *relay) noteLoss(first *backend) {
 	together := 0.0
 	if first.use.dead(time.Now()) {
@@ -246,7 +244,7 @@
 	s.q.setTogether(together)
 }
 
-// whole passes on an answer that is no stream.
+// passWhole passes on an answer that is not a stream.
 func (s *relay) whole(t try, seat *seat) (bool, string) {
 	body, err := t.answer.ReadAll()
 	if err != nil || s.headSent || t.answer.Status >= http.StatusInternalServerError && s.q.route.Repeats() {
@@ -259,8 +257,8 @@
 	return true, ""
 }
 
-// events passes events on until the stream ends or breaks. It reports whether
-// the request has ended, or else why not.
+// events passes events on until the stream ends or breaks. It reports whether the request has
+// ended, or else why not.
 func (s *relay) events(t try, seat *seat, w *watchdog) (bool, string) {
 	reader := event.Reader{Source: bufio.NewReaderSize(t.answer, eventBuffer), Max: maxEvent}
 	for {
@@ -280,7 +278,7 @@
 	}
 }
 
-// pass gives one event to the caller, after the head when it is the first.
+// pass writes one event to the caller, preceded by the head if it is the first.
 func (s *relay) pass(t try, e event.Event, flush bool) error {
 	now := time.Now()
 	if !s.headSent {
@@ -307,7 +305,7 @@
 	return s.flush.Flush()
 }
 
-// head gives the head of the answer to the caller.
+// head writes the head of the answer to the caller.
 func (s *relay) head(t try) {
 	s.headSent = true
 	s.q.set(t.answer.Status, outcomeServed, "")
@@ -327,7 +325,7 @@
 	return ""
 }
 
-// broken notes that a chain broke and returns why.
+// broken records that a chain broke and returns why.
 func (s *relay) broken(seat *seat, w *watchdog, err error) string {
 	q := s.q
 	if q.r.Context().Err() != nil {
--- a/role/gateway/survey.go
+++ b/role/gateway/survey.go
@@ -8,20 +8,19 @@
 	"github.com/grademill/grademill/decide/throttle"
 )
 
-// surveyEvery is the time between two questions for the pace of an endpoint; a question
-// costs as much as a hundredth of a request.
+// surveyEvery is the interval at which an endpoint is asked for its pace; asking costs as much as a
+// hundredth of a request.
 const surveyEvery = 2 * time.Second
 
-// survey asks the endpoints of models that this gateway looks after before all others how
-// slow they are, until ctx ends. The other gateways hear of a pace with the checks that late
-// events bring about.
+// survey asks the endpoints of models for which this gateway ranks first as checker how slow they
+// are, until ctx ends. The other gateways learn the pace with the checks that late events cause.
 func (g *Gateway) survey(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause.For(ctx, surveyEvery)
 		o, f := g.gossip.Overlay(), g.fleet.Load()
 		for _, hall := range f.halls {
 			if hall != g.Hall && len(o.In(hall)) > 0 {
-				continue // its own gateways look after its endpoints
+				continue // its own gateways check its endpoints
 			}
 			for _, b := range f.byHall[hall] {
 				now := time.Now()
@@ -34,20 +33,19 @@
 	}
 }
 
-// askedLately reports whether the endpoint has answered a check of any gateway not long
-// before now.
+// askedLately reports whether the endpoint has answered a check of any gateway shortly before now.
 func (u *usage) askedLately(now time.Time) bool {
 	return now.UnixNano()-max(u.checkedAt.Load(), u.othersCheckedAt.Load()) < int64(surveyEvery/2)
 }
 
-// ask asks an endpoint for its report and notes its pace. Requests will show whether one
-// that gives none is lost. It does not count as a check: an endpoint that dies right after it
-// must be found by the first event that is late.
+// ask asks an endpoint for its report and records its pace. If it gives none, requests will show
+// whether it is lost. It does not count as a check: an endpoint that dies right after it must be
+// found by the first late event.
 func (g *Gateway) ask(ctx context.Context, b *backend) {
 	begun := time.Now()
 	report, err := g.probes.Ask(ctx, b.Address)
 	if err != nil {
-		g.Log.Debug().Str("endpoint", b.ID).Err(err).Msg("endpoint gives no report")
+		g.Log.Debug().Str("endpoint", b.ID).Err(err).Msg("endpoint returned no report")
 		return
 	}
 	g.noteAnswer(b, begun, time.Now())
--- a/role/gateway/suspect.go
+++ b/role/gateway/suspect.go
@@ -13,57 +13,57 @@
 	"github.com/grademill/grademill/port/runner"
 )
 
-// The figures of checking whether an endpoint lives.
+// Timing of health checks.
 const (
-	// passedFresh is how recent an event that came through an endpoint must be to
-	// show that it lives: the usual time between two events of a stream.
+	// passedFresh is how recent an event that came through an endpoint must be to show that it is
+	// alive: the usual time between two events of a stream.
 	passedFresh = 50 * time.Millisecond
-	// checkedFresh is how long a check that was passed counts, where nothing but a
-	// late event speaks against the endpoint: a check costs as much as a hundredth
-	// of a request.
+	// checkedFresh is how long a passed check counts when only a late event speaks against the
+	// endpoint: a check costs as much as a hundredth of a request.
 	checkedFresh = 800 * time.Millisecond
-	// checkTurn is how much longer the check of another gateway counts for each one that
-	// comes before this one in looking after the endpoint: the time between two digests.
+	// checkStagger is how much longer a check by another gateway counts for each gateway that ranks
+	// before this one as checker of the endpoint: the interval between two digests.
 	checkTurn = 150 * time.Millisecond
-	// checkersEach is the number of gateways that look after an endpoint: one may be
-	// cut off.
+	// checkersEach is the number of gateways that check an endpoint for the others: one may be cut
+	// off.
 	checkersEach = 2
-	// strayEvery is the longest time between two checks of an endpoint that is down of a
-	// gateway that does not look after it.
+	// maxRecheckInterval bounds the time between two checks of a down endpoint by a gateway that is
+	// not one of its checkers.
 	strayEvery = 3 * time.Second
-	// reviveEvery is the time between two checks of an endpoint that is down.
+	// recheckInterval is the time between two checks of a down endpoint.
 	reviveEvery = 400 * time.Millisecond
-	// endedAfter is how long an endpoint must have given no answer to count as ended:
-	// a process that was paused, or a connection that lost packets, is back sooner.
+	// endedAfter is how long an endpoint must have been silent to count as ended: a process that
+	// was paused, or a connection that lost packets, is back sooner.
 	endedAfter = 700 * time.Millisecond
-	// toldEnough is how long an endpoint is taken for dead by the word of others before
-	// this gateway asks it: the record of one that has ended lapses in about four.
+	// unverifiedReportTime is how long an endpoint is presumed dead because other gateways report
+	// it down before this gateway checks it: the record of an endpoint that has ended lapses in
+	// about four seconds.
 	toldEnough = 1200 * time.Millisecond
-	// contradicts is how long the answer of an endpoint counts against their word.
+	// contradictionTime is how long an answer of an endpoint overrides reports that it is down.
 	contradicts = 3 * time.Second
-	// verifyPoll is how often the end of another's check is looked for: a check of an
-	// endpoint that lives takes a few milliseconds.
+	// verifyPoll is the interval at which a concurrent check is polled for its end: checking a live
+	// endpoint takes a few milliseconds.
 	verifyPoll = 2 * time.Millisecond
-	// wordFresh is how long the word of another gateway counts, and for how long after
-	// a check without an answer an endpoint is said to be down: several digests.
+	// reportFresh is how long a report by another gateway counts, and how long after a check
+	// without an answer this gateway reports an endpoint as down: several digest intervals.
 	wordFresh = time.Second
 )
 
-// The results of checks, as the metrics name them.
+// Results of checks, as the metrics name them.
 const (
 	checkPassed  = "passed"
 	checkSilent  = "silent"
 	checkHeldUp  = "held up"
 	checkRevived = "revived"
-	// checkAnother is a check that another life of the endpoint answered.
+	// checkNewIncarnation is a check that another incarnation of the endpoint answered.
 	checkAnother = "another life"
-	// checkStillSilent is a check of an endpoint that is down already.
+	// checkStillSilent is a check without an answer of an endpoint that is already down.
 	checkStillSilent = "still silent"
 )
 
-// suspect has an endpoint checked, in the background and once at a time, and again while this
-// process is held up. Streams through one that does not answer are moved at once: a report of the
-// endpoints before it tells of it only some 200 ms later.
+// checkAsync checks an endpoint in the background, one check at a time, and again while this
+// process is starved of processor time. Streams through an endpoint that does not answer are moved
+// at once: a report by the endpoints before it in the chain comes only about 200 ms later.
 func (g *Gateway) suspect(b *backend) {
 	if b.use.down() || !b.use.checking.CompareAndSwap(false, true) {
 		return
@@ -78,15 +78,15 @@
 	}()
 }
 
-// heldUpWait is the time between two checks of an endpoint while this process is held up. It grows,
-// since checks hold the process up further.
+// starvedWait is the time between two checks of an endpoint while this process is starved. It
+// grows, since checks themselves take processor time.
 var heldUpWait = backoff.Backoff{Base: 250 * time.Millisecond, Max: time.Second}
 
-// recheckHeldUp checks an endpoint again that could not be judged, until it can be, an event has come
-// through it since a time, or its record has gone.
+// recheckStarved repeats the check of an endpoint that could not be judged until it can be, an
+// event has come through it after since, or its record is gone.
 func (g *Gateway) recheckHeldUp(b *backend, since time.Time) {
 	if !b.use.heldUp.CompareAndSwap(false, true) {
-		return // these checks are under way
+		return // another goroutine repeats the check
 	}
 	defer b.use.heldUp.Store(false)
 	for checks := 1; g.current(b); checks++ {
@@ -95,7 +95,7 @@
 			return
 		}
 		if !b.use.checking.CompareAndSwap(false, true) {
-			continue // another check is under way
+			continue // another check is running
 		}
 		known := g.check(b)
 		b.use.checking.Store(false)
@@ -105,14 +105,14 @@
 	}
 }
 
-// current reports whether the life of an endpoint is the one that its record tells of.
+// isCurrent reports whether the backend is the incarnation that the record of the endpoint names.
 func (g *Gateway) current(b *backend) bool {
 	now := g.fleet.Load().byID[b.ID]
 	return now != nil && now.use == b.use
 }
 
-// verify checks an endpoint that has broken off an answer, and returns once it is known
-// whether it has ended: what has ended does not count as a try of the request.
+// verify checks an endpoint that has broken off an answer, and returns once it is known whether it
+// has ended: an endpoint that has ended does not count as an attempt of the request.
 func (g *Gateway) verify(ctx context.Context, b *backend) {
 	broken := time.Now()
 	for !b.use.checking.CompareAndSwap(false, true) {
@@ -127,8 +127,8 @@
 	}
 }
 
-// doubt has an endpoint checked through which an event is late, unless one has
-// just come through it, or a check was passed.
+// checkIfUncertain checks an endpoint through which an event is late, unless one has just come
+// through it or it has recently passed a check.
 func (g *Gateway) doubt(b *backend, now time.Time) {
 	if b.use.passed(now) || now.UnixNano()-b.use.checkedAt.Load() < int64(checkedFresh) {
 		return
@@ -136,9 +136,9 @@
 	g.suspect(b)
 }
 
-// doubtRefused does the same for an endpoint that a refusal names, of a request that was
-// sent at a time: it has no room, or has ended. One that lacks the layers of its record is
-// checked in any case, unless it has been since.
+// checkRefused does the same for an endpoint that a refusal names, which has no room or has ended;
+// sent is when the request was sent. A misdirected request means that it lacks the layers of its
+// record: then it is checked unless it has passed a check since.
 func (g *Gateway) doubtRefused(b *backend, misdirected bool, sent time.Time) {
 	if misdirected && b.use.checkedAt.Load() < sent.UnixNano() {
 		g.suspect(b)
@@ -147,10 +147,9 @@
 	g.doubt(b, time.Now())
 }
 
-// doubtBehind does the same for an endpoint that this gateway reaches only through
-// another one, where a check that another gateway passed says as much as one of its own.
-// Of the gateways that use a slow endpoint one checks it first, and the others only when
-// they hear nothing of that.
+// checkBehind does the same for an endpoint that this gateway reaches only through another one,
+// where a check that another gateway passed counts as much as its own. Of the gateways that use a
+// slow endpoint one checks it first, and the others only if no digest reports that check.
 func (g *Gateway) doubtBehind(b *backend, now time.Time) {
 	turn := time.Duration(g.gossip.Overlay().Rank(b.ID, b.Hall)) * checkTurn
 	if now.UnixNano()-b.use.othersCheckedAt.Load() < int64(min(checkedFresh+turn, checkedTold)) {
@@ -159,14 +158,14 @@
 	g.doubt(b, now)
 }
 
-// check asks an endpoint for its report and notes when it gives none. One of a plain service
-// gives none in any case. It returns false when nothing can be said of the endpoint, since this
-// process was held up.
+// checkNow asks an endpoint for its report and records when it gives none. An endpoint of a plain
+// service never gives one. It returns false when the endpoint cannot be judged because this process
+// was starved of processor time.
 func (g *Gateway) check(b *backend) bool {
 	return g.checkSince(b, time.Time{})
 }
 
-// checkSince does the same, by a question that is asked after a time.
+// checkSince does the same with a question that is asked after since.
 func (g *Gateway) checkSince(b *backend, since time.Time) bool {
 	if b.Card == "" {
 		g.knock(b)
@@ -200,13 +199,15 @@
 }
 
 // referenceFresh is how recent an event must be that came through an endpoint with which a silent
-// one is compared: shorter than a silent one is waited for, so that both have not ended together.
+// one is compared: shorter than the wait for a silent endpoint, so that the two have not ended
+// together.
 const referenceFresh = 60 * time.Millisecond
 
-// reference returns the address of the endpoint other than one through which an event came last,
-// empty when that is long ago. Where the link of this host is choked no endpoint answers in time:
-// while large configurations came three times a second, 104 of 136 endpoints that were found
-// silent in ten seconds answered again within a second, and 620 streams had been moved for that.
+// reference returns the address of the endpoint other than the given one through which an event
+// came last, empty when that is long ago. When the link of this host is congested no endpoint
+// answers in time: while large configurations arrived three times per second, 104 of 136 endpoints
+// found silent within ten seconds answered again within a second, and 620 streams had been moved
+// needlessly.
 func (g *Gateway) reference(address string) string {
 	last, found := time.Now().Add(-referenceFresh).UnixNano(), ""
 	for _, b := range g.fleet.Load().byAddress {
@@ -217,20 +218,21 @@
 	return found
 }
 
-// errAnotherLife is an endpoint that answers for another life than that of its record.
+// errNewIncarnation is the error of an endpoint that answers as an incarnation other than that of
+// its record.
 var errAnotherLife = errors.New("the endpoint has started again")
 
-// outlived reports whether a report is that of a later life than the record tells of, which
-// holds nothing of what the record says.
+// replacedBy reports whether a report comes from a later incarnation than the record names. That
+// incarnation holds nothing that the record says.
 func (b *backend) outlived(r runner.Report) bool {
 	return endpoint.Endpoint{Born: r.Born}.Follows(b.Endpoint)
 }
 
-// noteSilence notes that a check that began at a time found the life of an endpoint without an
-// answer, and whether it has surely ended.
+// noteSilence records that a check, begun at the given time, got no answer from an endpoint, and
+// whether the endpoint has certainly ended.
 func (g *Gateway) noteSilence(b *backend, ended bool, err error, begun time.Time) {
 	now := time.Now()
-	ran := b.use.watchers.begun(b.ID, now) // before those that wait for this check let go of it
+	ran := b.use.watchers.begun(b.ID, now) // before the watchdogs that wait for this check unregister
 	b.use.markDown(now, ended)
 	g.Log.Info().Str("endpoint", b.ID).Str("address", b.Address).Err(err).Bool("ended", ended).
 		Strs("begun", prints(ran)).Dur("took_ms", now.Sub(begun)).Msg("endpoint does not answer")
@@ -243,7 +245,7 @@
 	g.quarantine.Review(now)
 }
 
-// knock notes whether the host of an endpoint of a plain service refuses connections to it.
+// checkPlain records whether the host of an endpoint of a plain service refuses connections to it.
 // Its health check would wait for a slot, as requests do.
 func (g *Gateway) knock(b *backend) {
 	ended := probe.Refuses(context.Background(), b.Address)
@@ -258,7 +260,7 @@
 	g.quarantine.Review(time.Now())
 }
 
-// noteAnswer notes that an endpoint has answered a question that was begun at a time.
+// noteAnswer records that an endpoint has answered a question asked at begun.
 func (g *Gateway) noteAnswer(b *backend, begun, now time.Time) {
 	if b.use.answered(begun, now) {
 		g.Log.Info().Str("endpoint", b.ID).Str("address", b.Address).Int("witnesses", b.use.witnesses.Count(now)).
@@ -266,15 +268,15 @@
 	}
 }
 
-// silent reports whether an error of a check shows that the endpoint is not there:
-// one that refuses lives.
+// silent reports whether an error of a check shows that the endpoint is not there: an endpoint that
+// refuses is alive.
 func silent(err error) bool {
 	var refused *runner.RefusedError
 	return err != nil && !errors.As(err, &refused)
 }
 
-// spreadLoss has the streams through a lost endpoint moved, and the other
-// gateways told at once.
+// announceLoss has the streams through a lost endpoint moved, and notifies the other gateways at
+// once.
 func (g *Gateway) spreadLoss(b *backend) {
 	b.use.watchers.kick()
 	if b.use.down() && b.use.witnesses.Count(time.Now()) < enoughWitnesses {
@@ -283,7 +285,7 @@
 	g.gossip.News()
 }
 
-// noteStalls notes which endpoints hold requests up.
+// noteStalls records which endpoints hold requests up.
 func (g *Gateway) noteStalls(report runner.Report) {
 	now := time.Now()
 	for _, stall := range report.Stalled {
@@ -298,8 +300,8 @@
 	}
 }
 
-// hasEnded reports whether an endpoint holds nothing that can be used, although its
-// record is there: it does not answer this gateway, nor another one.
+// hasEnded reports whether an endpoint that still has a record has ended: neither this gateway nor
+// another one gets an answer.
 func (g *Gateway) hasEnded(b *backend, now time.Time) bool {
 	if !b.use.down() || now.UnixNano()-b.use.downSince.Load() < int64(endedAfter) {
 		return false
@@ -307,8 +309,8 @@
 	return g.peers.Alone() || b.use.othersDown.Load() > 0
 }
 
-// revive checks the endpoints that are down until ctx ends: requests go to them
-// only after they have answered again.
+// revive checks the endpoints that are down until ctx ends: they get requests only after they have
+// answered again.
 func (g *Gateway) revive(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause.For(ctx, reviveEvery)
@@ -325,23 +327,24 @@
 	}
 }
 
-// verifyTold checks an endpoint that is taken for dead by the word of others for some time:
-// the others may be cut off from it, and this gateway may be the one that reaches it.
+// verifyReportedDown checks an endpoint that has for some time been presumed dead because others
+// report it down: the others may be cut off from it, and this gateway may be the one that reaches
+// it.
 func (g *Gateway) verifyTold(b *backend, now time.Time) {
 	if now.UnixNano() < b.use.toldUntil.Load() && now.UnixNano()-b.use.toldSince.Load() > int64(toldEnough) {
 		g.suspect(b)
 	}
 }
 
-// looksAfter reports whether this gateway is one of those that check an endpoint for the
-// others.
+// isChecker reports whether this gateway is one of those that check an endpoint for the others.
 func (g *Gateway) looksAfter(b *backend) bool {
 	return g.leading.Load() || g.gossip.Overlay().Rank(b.ID, b.Hall) < checkersEach
 }
 
-// recheckDue reports whether an endpoint that is down is to be checked again. Those that
-// look after it do so all the time, and the others once these say no more that it is down,
-// or after a while. One that is down for this gateway alone is checked ever more seldom.
+// recheckDue reports whether an endpoint that is down is to be checked again. Its checkers check it
+// all the time, the other gateways once the checkers no longer report it down, or after
+// maxRecheckInterval. An endpoint that is down for this gateway alone is checked at growing
+// intervals.
 func (g *Gateway) recheckDue(b *backend, now time.Time) bool {
 	if g.looksAfter(b) {
 		return true
@@ -353,19 +356,17 @@
 	return now.UnixNano()-b.use.silentAt.Load() >= int64(wait)
 }
 
-// recheckWait is the time between two checks of an endpoint that is down for one gateway
-// alone.
+// recheckWait is the time between two checks of an endpoint that is down for one gateway alone.
 var recheckWait = backoff.Backoff{Base: reviveEvery, Max: strayEvery}
 
-// recheck asks an endpoint that is down for its report, and uses it again when it
-// gives one.
+// recheck asks an endpoint that is down for its report, and uses it again when it gives one.
 func (g *Gateway) recheck(ctx context.Context, b *backend) {
 	report, err := g.probes.Ask(ctx, b.Address)
 	if errors.Is(err, probe.ErrHeldUp) {
 		g.Meter.Check(checkHeldUp)
 		return
 	}
-	if silent(err) || b.outlived(report) { // its record will tell of the other life
+	if silent(err) || b.outlived(report) { // the record of the new incarnation follows
 		g.Meter.Check(checkStillSilent)
 		b.use.silentAt.Store(time.Now().UnixNano())
 		b.use.rechecks.Add(1)
--- a/role/gateway/try.go
+++ b/role/gateway/try.go
@@ -16,36 +16,35 @@
 type verdict uint8
 
 const (
-	// verdictAnswer is an answer that the endpoint vouches for.
+	// verdictAnswer is an answer that the endpoint has signed.
 	verdictAnswer verdict = iota
-	// verdictNotRun is a request that the endpoint has not run.
+	// verdictNotRun means that the endpoint has not run the request.
 	verdictNotRun
-	// verdictLost is a request whose endpoint did not answer properly; it may
-	// have run.
+	// verdictLost means that the endpoint did not answer properly; it may have run the request.
 	verdictLost
-	// verdictOver is a request whose caller has left or whose time is up.
+	// verdictEnded means that the caller has left or the deadline has passed.
 	verdictOver
 )
 
-// try is one send of a request.
+// attempt is one send of a request.
 type try struct {
 	answer *upstream.Answer
 	reply  exchange.Reply
 	verdict
-	// err is why there is no proper answer.
+	// err is the reason why there is no proper answer.
 	err error
 }
 
-// connectionRest is how long a connection may have rested to carry a request
-// that must not be sent twice: an endpoint may close it at any time, and a
-// request that meets the close may have run.
+// maxConnIdle is how long a connection may have been idle to carry a request,
+// maxConnIdleNonRepeatable if the request must not be sent twice: an endpoint may close an idle
+// connection at any time, and a request sent while it does may have run.
 const (
 	connectionRest     = 10 * time.Second
 	connectionRestOnce = 200 * time.Millisecond
 )
 
-// send sends a request to a backend and waits for the head of the answer. The
-// answer of the try, if any, is to be closed.
+// send sends a request to a backend and waits for the head of the answer. The caller closes the
+// answer of the attempt, if any.
 func (g *Gateway) send(ctx context.Context, q *query, b *backend, c chain.Chain, after string) try {
 	q.sends++
 	q.last, q.sentAt = b, time.Now()
@@ -59,7 +58,7 @@
 		Body: q.body, HasBody: q.hasBody, Rest: connectionRest, Wrote: func() { q.reached.Store(true) },
 		Mine: func(h http.Header) bool {
 			id := g.Dialect.Reply(0, h).ID
-			return id == q.ID || id == "" // a refusal need not name the request
+			return id == q.ID || id == "" // a refusal need not carry the request ID
 		},
 	}
 	if !q.route.Repeats() {
@@ -79,7 +78,7 @@
 	switch {
 	case t.reply.NotRun:
 		t.verdict = verdictNotRun
-		_, _ = answer.ReadAll() // only so that the connection can be kept
+		_, _ = answer.ReadAll() // only so that the connection can be reused
 	case t.reply.Signed && t.reply.ID == q.ID:
 		q.mayHaveRun = true
 		b.use.judge(health.Record.WithAnswer)
@@ -94,16 +93,16 @@
 	return t
 }
 
-// ownWord reports whether an answer is surely the endpoint's own: a misdirected request has reached
-// another one at its address, whose limits are none of the endpoint's.
+// isOwnReport reports whether an answer certainly comes from the endpoint itself. A misdirected
+// request has reached another endpoint at its address, whose limits do not apply.
 func ownWord(t try) bool {
 	return t.reply.Signed || t.reply.NotRun && t.answer.Status != http.StatusMisdirectedRequest
 }
 
-// errUnsigned is an answer that the endpoint does not vouch for.
+// errUnsigned is the error of an answer without the endpoint's signature.
 var errUnsigned = errors.New("the endpoint does not vouch for its answer")
 
-// lost judges a send that got no head of an answer.
+// sendFailed judges a send that got no head of an answer.
 func (g *Gateway) lost(ctx context.Context, q *query, b *backend, err error) try {
 	t := try{verdict: verdictLost, err: err}
 	var failed *upstream.SendError
@@ -132,7 +131,7 @@
 	return t
 }
 
-// noteLoad notes what an endpoint says of its load.
+// noteLoad records the load that an endpoint reports with its answer.
 func (g *Gateway) noteLoad(b *backend, r exchange.Reply) {
 	if r.Slots > 0 {
 		b.use.waiting.Store(int64(r.Waiting))
@@ -140,7 +139,7 @@
 	}
 }
 
-// The causes of sending a request again.
+// Causes of sending a request again.
 const (
 	causeNotRun = "not run"
 	causeLost   = "lost"
@@ -149,7 +148,7 @@
 	causeLeft   = "left"
 )
 
-// again reports whether a request may be sent once more, and counts it.
+// allowRetry takes a retry from the budget, counts it, and reports whether there was one.
 func (g *Gateway) again(q *query, cause string) bool {
 	if !g.retries.Allow(q.service.Name, time.Now()) {
 		return false
--- a/role/gateway/watchdog.go
+++ b/role/gateway/watchdog.go
@@ -11,63 +11,61 @@
 	"github.com/grademill/grademill/port/runner"
 )
 
-// The figures of watching a stream.
+// Timing and bounds of watching a stream.
 const (
-	// overdueFirst is when the first event is overdue, in parts of the objective:
-	// usual times are a tenth of it.
+	// firstOverdueShare is when the first event is overdue, as a share of the objective; usual
+	// times are a tenth of the objective.
 	overdueFirst = 0.2
-	// overdueLeast and overdueMost bound when a later event is overdue, in parts
-	// of the allowed pause; between them it is learned from the stream. What is
-	// left of the pause is to mend the chain.
+	// minOverdueShare and maxOverdueShare bound when a later event is overdue, as a share of the
+	// allowed pause; the value between them is learned from the stream. The rest of the pause
+	// remains for repairing the chain.
 	overdueLeast = 0.35
 	overdueMost  = 0.5
-	// overdueAgain is when the next look follows, in parts of the objective or the
-	// allowed pause.
+	// recheckShare is the delay until the next check, as a share of the objective or of the allowed
+	// pause.
 	overdueAgain = 0.5
-	// maxMoves bounds how often one look tries to move a request.
+	// maxMoves bounds the attempts of one check to move a request.
 	maxMoves = 3
-	// moveWait bounds the order to move a request: an endpoint that lives answers
-	// within milliseconds.
+	// moveWait bounds the order to move a request: a live endpoint answers within milliseconds.
 	moveWait = 250 * time.Millisecond
 )
 
-// watchdog watches one try of a stream. When an event is overdue it has the
-// endpoints of the chain checked, and moves the request to a chain without those
-// that do not answer. When that does not help it gives the try up, and the stream
-// is carried over.
+// watchdog watches one attempt of a stream. When an event is overdue it checks the endpoints of the
+// chain and moves the request to a chain without those that do not answer. When that does not help
+// it abandons the attempt, and the stream is resumed along another chain.
 type watchdog struct {
 	ctx    context.Context
 	relay  *relay
 	cancel context.CancelFunc
 	begun  time.Time
-	// final is set when no other try may follow.
+	// final is set when no further attempt may follow.
 	final bool
 
-	mu    sync.Mutex // guards what follows
+	mu    sync.Mutex // guards the fields below
 	seat  *seat
 	timer *time.Timer
-	// last is when an event last came, first when the first one of the chain of the
-	// moment did; zero before.
+	// last is when the latest event arrived, first when the first event of the current chain did;
+	// zero before.
 	first, last time.Time
-	// gaps learns how long the stream's next event takes.
+	// gaps estimates the time until the stream's next event.
 	gaps timeout.Estimator
-	// looking is set while a look is under way: there is one at a time.
+	// checking is set while a check runs; there is one at a time.
 	looking bool
-	// ended is set by stop, expired when the try was given up.
+	// ended is set by stop, abandoned when the attempt was given up.
 	ended, expired bool
-	// stuckAt is the part that the request could last not be moved away from; only
-	// the look that is under way uses it.
+	// unmovableFrom is the address of the endpoint from which the last move failed. Only the
+	// running check uses it.
 	stuckAt string
-	// suspectMoved is set once the request was moved though it was suspected: what ends then
-	// has ended under a try.
+	// movedWhileSuspect is set once the request was moved although it is a suspect: an endpoint
+	// that ends after that has ended under an isolated attempt.
 	suspectMoved bool
-	// stays is why the try was not left when that was last looked for.
+	// lastShortage is why the attempt was not abandoned at the previous check.
 	stays shortage
-	// reserved is the seat of the next try when this one was given up for it.
+	// reserved is the reservation of the next attempt when this one was abandoned for it.
 	reserved *seat
 }
 
-// newWatchdog starts to watch a try along a seat, which it releases in the end.
+// newWatchdog starts to watch an attempt along a reservation, which stop releases.
 func newWatchdog(ctx context.Context, s *relay, taken *seat, cancel context.CancelFunc) *watchdog {
 	pause := allowedPause(s.q.route)
 	w := &watchdog{
@@ -82,12 +80,12 @@
 	return w
 }
 
-// part returns a part of a duration.
+// fraction returns the given share of a duration.
 func part(share float64, d time.Duration) time.Duration {
 	return time.Duration(share * float64(d))
 }
 
-// event notes that an event has come.
+// event records that an event has arrived.
 func (w *watchdog) event() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -106,28 +104,28 @@
 	w.timer.Reset(w.gaps.Value())
 }
 
-// beginTime is how long a request counts as just begun after its first event: one that ends
-// the endpoint that begins to run it did so 36 to 109 ms after its start, and the others that
-// run there mostly began before.
+// startWindow is how long a request counts as just started after its first event. A request that
+// crashed the endpoint that started it did so 36 to 109 ms after its start, and the other requests
+// there had mostly started before.
 const beginTime = time.Second
 
-// begins reports whether the endpoints of the chain have got the request and had lately begun
-// to run it at now.
+// justStarted reports whether the endpoints of the chain may have received the request and had only
+// recently started it at now.
 func (w *watchdog) begins(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.relay.q.reached.Load() && (w.first.IsZero() || now.Sub(w.first) < beginTime)
 }
 
-// tries reports whether an endpoint of the chain is one at which the request, a suspect, is tried.
+// isolatedAt reports whether the request is a suspect and tried at the endpoint.
 func (w *watchdog) tries(endpoint string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.suspectMoved || w.relay.q.isolatedAt() == endpoint
 }
 
-// kick has the watchdog look soon, since a part of the chain has been lost. An
-// event that is not late yet may still come: it was made before.
+// checkSoon schedules a check since an endpoint of the chain has been lost. An event that is not
+// late yet may still arrive, produced before the loss.
 func (w *watchdog) kick() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -137,8 +135,8 @@
 	w.timer.Reset(max(time.Until(w.last.Add(w.gaps.Mean())), 0))
 }
 
-// stop ends the watch, releases the seat, and returns the one that the try was left
-// for, nil for none.
+// stop ends the watch, releases the reservation, and returns the one for which the attempt was
+// abandoned, nil for none.
 func (w *watchdog) stop() *seat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -149,14 +147,14 @@
 	return w.reserved
 }
 
-// gaveUp reports whether the try was given up.
+// gaveUp reports whether the attempt was abandoned.
 func (w *watchdog) gaveUp() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.expired
 }
 
-// look is called when an event is overdue, or a part of the chain has been lost.
+// check runs when an event is overdue or an endpoint of the chain has been lost.
 func (w *watchdog) look() {
 	w.mu.Lock()
 	last, seat := w.last, w.seat
@@ -183,7 +181,7 @@
 	}
 }
 
-// aim returns how long the next event may take.
+// target returns how long the next event may take.
 func (w *watchdog) aim(last time.Time) time.Duration {
 	if last.IsZero() {
 		return objective(w.relay.q.route)
@@ -191,12 +189,11 @@
 	return allowedPause(w.relay.q.route)
 }
 
-// lively is how recent an event of another stream must be for its first endpoint
-// to count as working: then a wait is due to load, and another try would add to
-// it.
+// workingEventAge is how recent an event of another stream must be for its first endpoint to count
+// as working. A delay there is due to load, to which another attempt would add.
 const lively = 400 * time.Millisecond
 
-// over reports whether the try has waited long enough.
+// waitedEnough reports whether the attempt has waited long enough for an event.
 func (w *watchdog) over(seat *seat, last time.Time) bool {
 	q, now := w.relay.q, time.Now()
 	if !q.route.Repeats() || now.UnixNano()-seat.first.use.eventAt.Load() < int64(lively) {
@@ -208,17 +205,18 @@
 	return now.Sub(last) > pauseWait*allowedPause(q.route)
 }
 
-// forsake gives the room of the seat back although the try goes on: its first endpoint
-// has ended, so that the other ones work for it in vain, and may be given other layers.
+// releaseReservation releases the reservation although the attempt goes on: its first endpoint has
+// ended, so that the other endpoints work for it in vain and may be given other layers.
 func (w *watchdog) forsake() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.seat.release()
 }
 
-// faster leaves the try for one along another chain if the request can be moved, but would
-// be late then and is expected much sooner there. When an endpoint is lost all streams
-// through it are read again by those few of its hall that hold its layers too.
+// switchIfFaster abandons the attempt for one along another chain if the request could be moved,
+// but would be late after the move and is expected much sooner on the other chain. When an endpoint
+// is lost, the few endpoints of its hall that hold the same layers have to read the prompts of all
+// its streams again.
 func (w *watchdog) faster(old, moved *seat, lost *backend) bool {
 	if w.final || w.relay.g.suspected(w.relay.q) {
 		return false
@@ -228,7 +226,7 @@
 	if !reread.Leave(wait, 0, spare) {
 		return false
 	}
-	q.arrived.Store(true) // so that the try costs its part of the retry budget
+	q.arrived.Store(true) // so that the new attempt is charged to the retry budget
 	next, short := w.relay.g.takeTry(q, causeLeft)
 	if short != shortageNone {
 		return false
@@ -239,11 +237,11 @@
 		return false
 	}
 	w.relay.g.Log.Info().Str("request", q.ID).Str("lost", lost.Address).Dur("wait_ms", wait).
-		Stringer("chain", next.chain).Msg("a try is left for a faster one")
+		Stringer("chain", next.chain).Msg("attempt abandoned for a faster chain")
 	return true
 }
 
-// spare returns how long the next event may still take without being late.
+// timeLeft returns how long the next event may still take without being late.
 func (w *watchdog) spare(now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -253,8 +251,8 @@
 	return allowedPause(w.relay.q.route) - now.Sub(w.last)
 }
 
-// leaveFor ends the try for one along a seat, and reports whether it has: not when it has
-// ended already.
+// abandonFor ends the attempt for one along another reservation, and reports whether it did; it
+// does not when the attempt has already ended.
 func (w *watchdog) leaveFor(next *seat) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -266,15 +264,15 @@
 	return true
 }
 
-// leave ends the try if the request can be sent along another chain at once, and
-// reports whether it has. Otherwise the try goes on: what it waits for may come while
-// the caller does, and without another way nothing is won by ending it.
+// abandon ends the attempt if the request can be sent along another chain at once, and reports
+// whether it did. Otherwise the attempt goes on: the event may still arrive in time, and without
+// another chain nothing is gained by ending it.
 func (w *watchdog) leave(seat *seat) bool {
 	if w.final || !w.relay.g.maySend(w.relay.q) {
 		return false
 	}
 	q := w.relay.q
-	if w.relay.g.suspected(q) { // it waits for a try apart
+	if w.relay.g.suspected(q) { // it waits for an isolated attempt
 		q.arrived.Store(true)
 		return seat.first.use.down() && w.leaveFor(nil)
 	}
@@ -300,9 +298,9 @@
 	return true
 }
 
-// mend moves the request away from a part of its chain that is lost, and has the
-// parts checked when none is known to be. It returns false when the try is lost:
-// the first endpoint does not answer, or there is no other way.
+// repair moves the request away from a lost endpoint of its chain, or has the endpoints checked
+// when none is known to be lost. It returns false when the attempt is lost: the first endpoint does
+// not answer, or there is no other chain.
 func (w *watchdog) mend(seat *seat) bool {
 	now := time.Now()
 	if seat.first.use.down() {
@@ -321,18 +319,18 @@
 	return true
 }
 
-// move moves the request to a chain without a lost part. It returns false when
-// there is none, or the request cannot be moved.
+// move moves the request to a chain without a lost endpoint. It returns false when there is none,
+// or the request cannot be moved.
 func (w *watchdog) move(seat *seat, lost *backend) bool {
 	g, q, address := w.relay.g, w.relay.q, lost.Address
 	if !g.maySend(q) {
-		return false // it would end another part
+		return false // it would crash another endpoint
 	}
 	q.avoid(address)
 	for range maxMoves {
 		next, short := g.moveSeat(q, seat, lost)
 		if short == shortageNone && w.faster(seat, next, lost) {
-			next.release() // the try ends
+			next.release() // the attempt ends
 			return true
 		}
 		if short != shortageNone {
@@ -362,7 +360,7 @@
 	return false
 }
 
-// replace takes a new seat in place of the former one.
+// replace exchanges the reservation for another one.
 func (w *watchdog) replace(next *seat) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/role/gateway/watchers.go
+++ b/role/gateway/watchers.go
@@ -10,14 +10,14 @@
 // watchers are the watchdogs of the streams that pass through an endpoint.
 type watchers struct{ set.Set[*watchdog] }
 
-// kick has all of them look soon.
+// checkSoon has all watchdogs check soon.
 func (s *watchers) kick() {
 	for _, w := range s.Values() {
 		w.kick()
 	}
 }
 
-// begun returns the requests that an endpoint had lately begun to run at now.
+// begun returns the requests that an endpoint had recently started at now.
 func (s *watchers) begun(endpoint string, now time.Time) []suspects.Begun {
 	var list []suspects.Begun
 	for _, w := range s.Values() {
