--- a/role/gateway/admission.go
+++ b/role/gateway/admission.go
@@ -20,15 +20,15 @@
 
 // reserveQueued waits in the queue for a reservation. A request that would have to wait for longer
 // than it may is refused at once, and so is a new one when no chain holds all layers.
-func (g *Gateway) takeTurn(q *query, turn admission.Turn) (*seat, shortage) {
+func (g *Gateway) takeTurn(q *query, turn admission.Turn) (*reservation, shortage) {
 	r := q.waiting()
 	if !r.Begun {
 		q.ahead = g.line.Waiting()
 		defer func(since time.Time) { q.waited = time.Since(since) }(time.Now())
 	}
 	found := shortageRoom
-	taken, report := g.line.Enter(q.r.Context(), r, turn, func() (*seat, gate.Answer) {
-		taken, short := g.takeSeat(q)
+	taken, report := g.line.Enter(q.r.Context(), r, turn, func() (*reservation, gate.Answer) {
+		taken, short := g.reserve(q)
 		found = short
 		switch {
 		case short == shortageNone:
--- a/role/gateway/chooser.go
+++ b/role/gateway/chooser.go
@@ -20,13 +20,13 @@
 	finder  chain.Finder
 	holders []chain.Holder
 	// hallNoise is the random cost factor of each hall for this request.
-	chance []float64
+	hallNoise []float64
 	// fleetFactor is the number of requests of all gateways that do the same for each one of this
 	// gateway: 1 for a single request, more for one that leaves a lost endpoint.
-	together float64
+	fleetFactor float64
 	// unreported is the share of the other gateways' requests at an endpoint that may have arrived
 	// since their last report.
-	unseen float64
+	unreported float64
 	// isolated holds the endpoints reserved for trying suspects.
 	isolated isolation.Plan
 	// open, avoided and crowded count the endpoints of the model, those that were avoided, and
@@ -34,10 +34,10 @@
 	open, avoided, crowded int
 	// skipLimited leaves out endpoints that have announced a limit of which this gateway has no
 	// share left. Otherwise a request may pick them, so that the demand for them is known.
-	heldOut bool
+	skipLimited bool
 	// entryCandidates counts the endpoints at which a chain may begin. held lists those of them
 	// that accept nothing now.
-	firsts int
+	entryCandidates int
 	held   []*backend
 }
 
@@ -46,11 +46,11 @@
 
 // keptLayerCost is the cost factor of a layer that has already processed the request: it need not
 // read the prompt again.
-const keptCost = 0.05
+const keptLayerCost = 0.05
 
 // keepChain prepares the holders for moving a request away from an old reservation: backends that
 // are not avoided stay as they are, and no other endpoint takes the layers of the first one.
-func (c *chooser) keep(old *seat, q *query, now time.Time) {
+func (c *chooser) keepChain(old *reservation, q *query, now time.Time) {
 	head := old.chain[0].Layers.End
 	holders := c.holders[:0]
 	for _, h := range c.holders {
@@ -70,7 +70,7 @@
 		card := q.service.Model.Cards[b.Card]
 		holders = append(holders, chain.Holder{
 			ID: p.ID, Address: p.Address, Hall: b.hall, Layers: p.Layers,
-			PerLayer: c.layerTime(q.service.Model, card, q, b.use) * keptCost,
+			PerLayer: c.layerTime(q.service.Model, card, q, b.use) * keptLayerCost,
 		})
 	}
 	c.holders = holders
@@ -81,30 +81,30 @@
 // without noise they would all take the same cheapest chain meanwhile: under high load the mean
 // worth of a request was 0.58 without noise and 0.67 with it.
 const (
-	chanceHall     = 0.7
-	chanceEndpoint = 0.2
+	maxHallNoise     = 0.7
+	maxEndpointNoise = 0.2
 )
 
 // prepare sets the model, the costs of entering a chain in each hall, the share of other gateways'
 // requests not yet reported, and the noise.
 func (c *chooser) prepare(m *catalog.Model, f *fleet, home string, others unseen.Flow) {
 	c.finder.Layers = m.Layers
-	c.together = 1
-	c.unseen = others.Part()
+	c.fleetFactor = 1
+	c.unreported = others.Part()
 	c.finder.Entry = c.finder.Entry[:0]
-	c.chance = c.chance[:0]
+	c.hallNoise = c.hallNoise[:0]
 	for _, hall := range f.halls {
-		entry := entryFar
+		entry := remoteEntryCost
 		if hall == home {
 			entry = 0
 		}
 		c.finder.Entry = append(c.finder.Entry, entry)
-		c.chance = append(c.chance, 1+chanceHall*rand.Float64())
+		c.hallNoise = append(c.hallNoise, 1+maxHallNoise*rand.Float64())
 	}
 }
 
 // hops sets the cost of passing a token on; between two halls it is crossHall.
-func (c *chooser) hops(far float64) {
+func (c *chooser) hops(crossHall float64) {
 	halls := len(c.finder.Entry)
 	for len(c.finder.Hops) < halls {
 		c.finder.Hops = append(c.finder.Hops, nil)
@@ -113,29 +113,29 @@
 	for i := range c.finder.Hops {
 		row := slices.Grow(c.finder.Hops[i][:0], halls)[:halls]
 		for j := range row {
-			row[j] = far
+			row[j] = crossHall
 		}
-		row[i] = hopNear
+		row[i] = hopCostInHall
 		c.finder.Hops[i] = row
 	}
 }
 
 // candidateFilter selects the backends that a search leaves out.
-type choice uint8
+type candidateFilter uint8
 
 const (
 	// skipAvoidedAndFull leaves out backends that are avoided and those without room.
-	useSound choice = iota
+	skipAvoidedAndFull candidateFilter = iota
 	// skipAvoided leaves out backends that are avoided.
-	useFull
+	skipAvoided
 	// skipFull leaves out backends without room.
-	useDoubtful
+	skipFull
 )
 
 // collect lists the backends that a request may use.
-func (c *chooser) collect(q *query, f *fleet, need int, use choice) {
+func (c *chooser) collect(q *query, f *fleet, need int, filter candidateFilter) {
 	c.holders = c.holders[:0]
-	c.open, c.avoided, c.crowded, c.firsts, c.held = 0, 0, 0, 0, c.held[:0]
+	c.open, c.avoided, c.crowded, c.entryCandidates, c.held = 0, 0, 0, 0, c.held[:0]
 	now := time.Now()
 	for _, b := range f.open[q.service.Name] {
 		usable := b.usable(now)
@@ -149,44 +149,44 @@
 		// An endpoint whose host refuses connections has certainly ended. Sending there would only
 		// use up the retry budget that callers need once other endpoints hold its layers.
 		out := hold == throttle.Leaving || b.use.down() && b.use.ended.Load()
-		if q.avoids(b.Address) || out || use != useDoubtful && b.use.avoided(now) {
+		if q.avoids(b.Address) || out || filter != skipFull && b.use.avoided(now) {
 			c.avoided++
 			continue
 		}
-		if usable.First == 0 && !q.mayBegin(b, c.isolated) {
+		if usable.First == 0 && !q.mayStartAt(b, c.isolated) {
 			usable.First = 1 // the endpoint that starts a request is the one that the request may crash
 		}
 		if usable.First == 0 {
-			c.firsts++
-			if use != useFull && c.holds(hold) {
+			c.entryCandidates++
+			if filter != skipAvoided && c.declines(hold) {
 				c.held = append(c.held, b)
 				usable.First = 1 // the limit counts only requests that start at the endpoint, not those that pass through it
 			}
 		}
 		room, free := b.room(q.service.Model, need)
-		if use != useFull && usable.First == 0 && b.noSlot(c.unseen) {
+		if filter != skipAvoided && usable.First == 0 && b.slotsFull(c.unreported) {
 			usable.First = 1 // layers behind the first need no slot
 		}
-		if use != useFull && (free < 0 || usable.Empty()) {
+		if filter != skipAvoided && (free < 0 || usable.Empty()) {
 			c.crowded++
 			continue
 		}
 		c.holders = append(c.holders, chain.Holder{
 			ID: b.ID, Address: b.Address, Hall: b.hall, Layers: usable,
-			PerLayer: c.perLayer(q, b, now) * crowding(free, room),
+			PerLayer: c.perLayer(q, b, now) * memoryFactor(free, room),
 		})
 	}
 }
 
 // declines reports whether an endpoint that announced a limit or a backoff period is left out as
 // the first of a chain.
-func (c *chooser) holds(hold throttle.Hold) bool {
-	return hold == throttle.Resting || hold == throttle.Limited && c.heldOut
+func (c *chooser) declines(hold throttle.Hold) bool {
+	return hold == throttle.Resting || hold == throttle.Limited && c.skipLimited
 }
 
 // shortage returns why the search found no chain although one exists.
 func (c *chooser) shortage() shortage {
-	if c.firsts > 0 && len(c.held) == c.firsts {
+	if c.entryCandidates > 0 && len(c.held) == c.entryCandidates {
 		return shortageHeld
 	}
 	return shortageRoom
@@ -217,39 +217,39 @@
 // slotsFull reports whether a backend can be the first of no further chain. Only a request whose
 // chain begins there takes one of its slots. unreported is the share of the other gateways'
 // requests there that may have arrived since their last report.
-func (b *backend) noSlot(unseen float64) bool {
+func (b *backend) slotsFull(unreported float64) bool {
 	others := float64(b.use.othersEntered.Load())
-	return int(float64(b.use.entered.Load())+others*(1+unseen)) >= b.Slots
+	return int(float64(b.use.entered.Load())+others*(1+unreported)) >= b.Slots
 }
 
 // perLayer returns the cost of a layer of a backend for a request, in seconds per token, before the
 // memory factor.
 func (c *chooser) perLayer(q *query, b *backend, now time.Time) float64 {
-	chance := c.chance[b.hall] * (1 + chanceEndpoint*rand.Float64())
+	noise := c.hallNoise[b.hall] * (1 + maxEndpointNoise*rand.Float64())
 	slow := float64(b.use.slowness(now)) / pace.Unit
-	return c.layerTime(q.service.Model, q.service.Model.Cards[b.Card], q, b.use) * slow * chance
+	return c.layerTime(q.service.Model, q.service.Model.Cards[b.Card], q, b.use) * slow * noise
 }
 
 // readSpreadTokens is the number of tokens over which the cost of reading a prompt is spread. An
 // answer has about 200, but a late first event halves the worth of a request: spread over the whole
 // answer, 60 prompts waiting at an endpoint weighed less than using another hall. Under high load
 // the mean worth of a request was 0.66 at 10 tokens and 0.67 at 32.
-const readOver = 32
+const readSpreadTokens = 32
 
 // layerTime returns the seconds that one layer adds to a token, including a share of the time to
 // read the prompt after those that are being read there.
 func (c *chooser) layerTime(m *catalog.Model, card catalog.Card, q *query, u *usage) float64 {
 	active := u.active.Load() + u.othersActive.Load()
-	reading := float64(u.reading.Load())*c.together + float64(u.othersReading.Load())
+	reading := float64(u.reading.Load())*c.fleetFactor + float64(u.othersReading.Load())
 	step := m.Step.Seconds() + float64(active)*m.PerSequence.Seconds()
-	read := (1 + reading) * float64(q.Prompt) / m.ReadRate / readOver
+	read := (1 + reading) * float64(q.Prompt) / m.ReadRate / readSpreadTokens
 	return (step*card.Pace + read*card.Read) / float64(m.Layers)
 }
 
 // memoryFactor returns the cost factor of an endpoint for its memory in use.
-func crowding(free, room float64) float64 {
+func memoryFactor(free, room float64) float64 {
 	if free <= 0 || room <= 0 {
-		return maxCrowding
+		return maxMemoryFactor
 	}
-	return min(room/free, maxCrowding)
+	return min(room/free, maxMemoryFactor)
 }
--- a/role/gateway/digest.go
+++ b/role/gateway/digest.go
@@ -182,7 +182,7 @@
 	}
 	g.Log.Info().Str("endpoint", b.ID).Str("address", b.Address).Int("witnesses", b.use.witnesses.Count(now)).
 		Int64("active", b.use.active.Load()).Msg("endpoint is down by the word of others")
-	b.use.watchers.kick()
+	b.use.watchers.checkSoon()
 }
 
 // handleOrders records the orders under way. While this gateway itself gives orders, those of
@@ -213,7 +213,7 @@
 	news := !b.use.dead(now)
 	b.use.othersStalled.Store(now.Add(wait).UnixNano())
 	if news {
-		b.use.watchers.kick()
+		b.use.watchers.checkSoon()
 	}
 }
 
--- a/role/gateway/fleet.go
+++ b/role/gateway/fleet.go
@@ -205,7 +205,7 @@
 // reportedDown reports whether other gateways report the endpoint down while no event has recently
 // come through it here. It then gets no new requests; those that run there are checked.
 func (u *usage) lost(now time.Time) bool {
-	return u.othersDown.Load() >= enoughWitnesses && !u.contradicted(now) && now.UnixNano()-u.eventAt.Load() > int64(lively)
+	return u.othersDown.Load() >= enoughWitnesses && !u.contradicted(now) && now.UnixNano()-u.eventAt.Load() > int64(workingEventAge)
 }
 
 // contradicted reports whether reports that the endpoint is down do not count, since it has
--- a/role/gateway/gateway.go
+++ b/role/gateway/gateway.go
@@ -143,7 +143,7 @@
 	// of Unix time.
 	currentSince atomic.Int64
 	// queue is where requests of models wait for room.
-	line admission.Line[*seat]
+	line admission.Line[*reservation]
 
 	// retries is this gateway's share of the retry budget.
 	retries budgets.Budgets
--- a/role/gateway/intake.go
+++ b/role/gateway/intake.go
@@ -14,7 +14,7 @@
 }
 
 // maxLoggedHeld bounds the endpoints that the log entry of a request names as not accepting it.
-const maxHeld = 4
+const maxLoggedHeld = 4
 
 // noteHeld records which of the endpoints that did not accept a request at now may accept it first.
 // On the first search it also records the reason of each, for the log.
@@ -28,7 +28,7 @@
 		if from, known := t.From(now); known && (q.next == nil || from.Before(first)) {
 			q.next, first = b, from
 		}
-		if q.looked || len(q.held) >= maxHeld {
+		if q.looked || len(q.held) >= maxLoggedHeld {
 			continue
 		}
 		hold := t.Held(now)
--- a/role/gateway/isolation.go
+++ b/role/gateway/isolation.go
@@ -17,7 +17,7 @@
 	isolationWait = 200 * time.Millisecond
 	// isolationTimeout bounds the wait for an endpoint. A report by another gateway that a suspect
 	// has run to its end counts for three seconds.
-	isolationPatience = 4 * time.Second
+	isolationTimeout = 4 * time.Second
 )
 
 // suspected reports whether endpoints have ended under a request so often that it is tried isolated
@@ -27,7 +27,7 @@
 }
 
 // isolationPlan returns at which endpoints of a service suspects are tried at now.
-func (g *Gateway) isolated(service string, now time.Time) isolation.Plan {
+func (g *Gateway) isolationPlan(service string, now time.Time) isolation.Plan {
 	list := g.quarantine.Suspects(now)
 	if len(list) == 0 {
 		return isolation.Plan{}
@@ -50,7 +50,7 @@
 // awaitIsolation waits until a request may be sent on, within its deadline; a request that is no
 // suspect need not wait. It returns the reason why the request may not be sent.
 func (g *Gateway) awaitIsolation(q *query) shortage {
-	until := time.Now().Add(min(isolationPatience, q.left(time.Now())))
+	until := time.Now().Add(min(isolationTimeout, q.left(time.Now())))
 	for {
 		q.isolateAt("")
 		if !g.maySend(q) {
@@ -61,7 +61,7 @@
 			return shortageNone
 		}
 		g.quarantine.Arrived(q.print, now)
-		if endpoint, free := g.isolated(q.service.Name, now).Of(q.print); q.apart && free {
+		if endpoint, free := g.isolationPlan(q.service.Name, now).Of(q.print); q.apart && free {
 			q.isolateAt(endpoint)
 			g.Log.Info().Str("request", q.ID).Stringer("print", q.print).Str("endpoint", endpoint).
 				Msg("request is tried apart from others under which endpoints have ended")
@@ -77,7 +77,7 @@
 
 // mayStartAt reports whether a request may start at an endpoint: a suspect only at its own, any
 // other request only where no suspect is tried.
-func (q *query) mayBegin(b *backend, isolated isolation.Plan) bool {
+func (q *query) mayStartAt(b *backend, isolated isolation.Plan) bool {
 	if own := q.isolatedAt(); own != "" {
 		return b.ID == own
 	}
@@ -85,7 +85,7 @@
 }
 
 // fingerprints formats the fingerprints of requests for the log.
-func prints(begun []suspects.Begun) []string {
+func fingerprints(begun []suspects.Begun) []string {
 	list := make([]string, 0, len(begun))
 	for _, b := range begun {
 		list = append(list, b.Print.String())
--- a/role/gateway/plain.go
+++ b/role/gateway/plain.go
@@ -49,7 +49,7 @@
 		if b.use.intake.Take(time.Now()) != throttle.Free {
 			continue // another request has taken the room meanwhile
 		}
-		if q.arrived.Load() && !g.again(q, q.cause) {
+		if q.arrived.Load() && !g.allowRetry(q, q.cause) {
 			reason = "the retry budget is used up: " + reason
 			break
 		}
@@ -82,12 +82,12 @@
 // candidates returns the backends to which a request may go at now.
 func (g *Gateway) candidates(q *query, now time.Time) candidates {
 	var c candidates
-	isolated := g.isolated(q.service.Name, now)
+	isolated := g.isolationPlan(q.service.Name, now)
 	for _, b := range g.fleet.Load().open[q.service.Name] {
 		if q.avoids(b.Address) {
 			continue
 		}
-		hold, passedOver := b.use.intake.Held(now), !q.mayBegin(b, isolated) || b.use.avoided(now)
+		hold, passedOver := b.use.intake.Held(now), !q.mayStartAt(b, isolated) || b.use.avoided(now)
 		switch {
 		case hold == throttle.Free && passedOver:
 			c.spare = b
@@ -172,7 +172,7 @@
 	case verdictNotRun:
 		q.cause = causeNotRun
 		return false, notRunReason(t)
-	case verdictLost, verdictOver:
+	case verdictLost, verdictEnded:
 		q.cause = causeLost
 		q.ran = append(q.ran, b)
 		g.endedUnder(q, b)
@@ -212,7 +212,7 @@
 }
 
 // notRunReason returns why a request was not run.
-func notRunReason(t try) string {
+func notRunReason(t attempt) string {
 	if t.err != nil {
 		return t.err.Error()
 	}
@@ -226,7 +226,7 @@
 }
 
 // deliver passes a whole answer on.
-func (g *Gateway) deliver(q *query, t try, body []byte) {
+func (g *Gateway) deliver(q *query, t attempt, body []byte) {
 	if promises[t.answer.Status] { // the endpoint ran it, but its status would say otherwise
 		g.fail(q, http.StatusBadGateway, "the endpoint ran the request and answered "+strconv.Itoa(t.answer.Status))
 		return
--- a/role/gateway/quarantine.go
+++ b/role/gateway/quarantine.go
@@ -37,7 +37,7 @@
 	g.endedAfterSilence(b, now)
 	begun := b.use.watchers.begun(b.ID, now) // before the watchdogs that wait for a check unregister
 	b.use.markDown(now, true)
-	b.use.watchers.kick()
+	b.use.watchers.checkSoon()
 	g.quarantine.Report(b.life(), begun, now)
 	g.quarantine.Review(now)
 }
--- a/role/gateway/query.go
+++ b/role/gateway/query.go
@@ -60,7 +60,7 @@
 	// attempt.
 	returned bool
 	// lastSearch describes the last search that found no chain.
-	seen sight
+	seen candidateCounts
 	// waited is how long the request waited in the queue for its first reservation, ahead the
 	// number of requests that were queued when it arrived.
 	waited time.Duration
--- a/role/gateway/seat.go
+++ b/role/gateway/seat.go
@@ -15,49 +15,49 @@
 const (
 	// hopCostInHall is the cost of passing a token on within a hall, hopCostAcrossHalls to another
 	// hall; the latter is high because all halls share one link.
-	hopNear = 0.0003
-	hopFar  = 0.006
+	hopCostInHall = 0.0003
+	hopCostAcrossHalls  = 0.006
 	// remoteEntryCost is the cost of entering a chain in a hall other than the gateway's. It keeps
 	// gateways of different halls from choosing the same chains: under high load the mean worth of
 	// a request was 0.72 at 0.002 and 0.74 at 0.004.
-	entryFar = 0.004
+	remoteEntryCost = 0.004
 	// maxMemoryFactor bounds the cost factor of a nearly full endpoint.
-	maxCrowding = 12
+	maxMemoryFactor = 12
 	// heldAnswerShare is the share of its answer for which a request holds memory on average, with
 	// a margin: it holds the whole answer only at the end.
-	likelyMargin = 0.6
+	heldAnswerShare = 0.6
 )
 
 // reservation is the room that a request holds along a chain.
-type seat struct {
+type reservation struct {
 	chain  chain.Chain
 	first  *backend
 	parts  []*backend
 	memory []int64
 	// readingPrompt is set while the endpoints read the prompt.
-	reading bool
+	readingPrompt bool
 	// released is set once the room has been given back.
 	released bool
 }
 
 // promptRead notes that the endpoints have read the prompt.
-func (s *seat) read() {
-	if !s.reading {
+func (s *reservation) promptRead() {
+	if !s.readingPrompt {
 		return
 	}
-	s.reading = false
+	s.readingPrompt = false
 	for _, b := range s.parts {
 		b.use.reading.Add(-1)
 	}
 }
 
 // release gives the room back. Further calls do nothing.
-func (s *seat) release() {
+func (s *reservation) release() {
 	if s.released {
 		return
 	}
 	s.released = true
-	s.read()
+	s.promptRead()
 	s.first.use.entered.Add(-1)
 	for i, b := range s.parts {
 		b.use.release(s.memory[i])
@@ -66,13 +66,13 @@
 
 // addWatchdog and removeWatchdog set which watchdog is notified when an endpoint of the chain is
 // lost.
-func (s *seat) watch(w *watchdog) {
+func (s *reservation) addWatchdog(w *watchdog) {
 	for _, b := range s.parts {
 		b.use.watchers.Add(w)
 	}
 }
 
-func (s *seat) unwatch(w *watchdog) {
+func (s *reservation) removeWatchdog(w *watchdog) {
 	for _, b := range s.parts {
 		b.use.watchers.Remove(w)
 	}
@@ -88,7 +88,7 @@
 	if likely == 0 {
 		likely = m.Answer
 	}
-	likely = int(float64(likely) * likelyMargin)
+	likely = int(float64(likely) * heldAnswerShare)
 	if q.MaxAnswer > 0 {
 		likely = min(likely, q.MaxAnswer)
 	}
@@ -96,7 +96,7 @@
 }
 
 // candidateCounts describes a search that found no chain, for the log.
-type sight struct {
+type candidateCounts struct {
 	// need is the estimated number of tokens of the request.
 	need int
 	// open, avoided and crowded count the endpoints that hold layers, those that were avoided, and
@@ -122,12 +122,12 @@
 
 // reserveAttempt makes a reservation for an attempt of a request and takes a retry from the budget
 // when the request may already have reached an endpoint.
-func (g *Gateway) takeTry(q *query, cause string) (*seat, shortage) {
-	taken, short := g.takeSeat(q)
+func (g *Gateway) reserveAttempt(q *query, cause string) (*reservation, shortage) {
+	taken, short := g.reserve(q)
 	if short != shortageNone {
 		return nil, short
 	}
-	if q.arrived.Load() && !g.again(q, cause) {
+	if q.arrived.Load() && !g.allowRetry(q, cause) {
 		taken.release()
 		return nil, shortageBudget
 	}
@@ -135,53 +135,53 @@
 }
 
 // reserve reserves room for a request along the cheapest chain, preferably within one hall.
-func (g *Gateway) takeSeat(q *query) (*seat, shortage) {
+func (g *Gateway) reserve(q *query) (*reservation, shortage) {
 	f := g.fleet.Load()
 	c := choosers.Get().(*chooser)
 	defer choosers.Put(c)
 	need := q.tokens()
-	c.prepare(q.service.Model, f, g.Hall, g.others(q.service.Name))
-	c.together = q.companions()
-	c.isolated = g.isolated(q.service.Name, time.Now())
-	found, ok := g.findAdmitted(c, q, f, need, useSound)
+	c.prepare(q.service.Model, f, g.Hall, g.peerFlow(q.service.Name))
+	c.fleetFactor = q.companions()
+	c.isolated = g.isolationPlan(q.service.Name, time.Now())
+	found, ok := g.findAdmitted(c, q, f, need, skipAvoidedAndFull)
 	if !ok && q.isolatedAt() == "" && !c.isolated.Empty() { // an endpoint at which a suspect is tried is better than none
 		c.isolated = isolation.Plan{}
-		found, ok = g.findAdmitted(c, q, f, need, useSound)
+		found, ok = g.findAdmitted(c, q, f, need, skipAvoidedAndFull)
 	}
 	if !ok {
-		q.seen = sight{need: need, open: c.open, avoided: c.avoided, crowded: c.crowded}
+		q.seen = candidateCounts{need: need, open: c.open, avoided: c.avoided, crowded: c.crowded}
 		short := c.shortage()
-		c.collect(q, f, need, useFull)
+		c.collect(q, f, need, skipAvoided)
 		if _, exists := c.finder.Find(c.holders); exists {
 			return nil, short
 		}
 		// Endpoints that seem to be down may be unreachable for this gateway alone, or this process
 		// may be too slow to receive their answers.
-		if found, ok = g.findAdmitted(c, q, f, need, useDoubtful); !ok {
+		if found, ok = g.findAdmitted(c, q, f, need, skipFull); !ok {
 			return nil, shortageLayers
 		}
 	}
-	return newSeat(found, need, func(p chain.Part) *backend { return f.byID[p.ID] }), shortageNone
+	return newReservation(found, need, func(p chain.Part) *backend { return f.byID[p.ID] }), shortageNone
 }
 
 // peerFlow returns how the other gateways use the endpoints of a service.
-func (g *Gateway) others(service string) unseen.Flow {
+func (g *Gateway) peerFlow(service string) unseen.Flow {
 	return unseen.Flow{Told: g.gossip.Every(), Lasts: g.line.Times.Lasts(service)}
 }
 
 // maxHeldPicks is the number of endpoints at their announced limit that a search may pick, so that
 // the demand for each is counted. After that, endpoints that accept nothing for now are left out.
-const heldTries = 2
+const maxHeldPicks = 2
 
 // findAdmitted finds the cheapest chain whose first endpoint accepts a request now, and counts the
 // request against its limit.
-func (g *Gateway) findAdmitted(c *chooser, q *query, f *fleet, need int, use choice) (chain.Chain, bool) {
+func (g *Gateway) findAdmitted(c *chooser, q *query, f *fleet, need int, filter candidateFilter) (chain.Chain, bool) {
 	now := time.Now()
 	defer func() { g.noteHeld(q, c.held, now) }()
 	again := q.hasLooked()
-	c.heldOut = again
-	for range heldTries {
-		c.collect(q, f, need, use)
+	c.skipLimited = again
+	for range maxHeldPicks {
+		c.collect(q, f, need, filter)
 		found, ok := g.find(c, q, need)
 		if !ok {
 			return nil, false
@@ -193,7 +193,7 @@
 		if first.use.intake.Take(now) == throttle.Free {
 			return found, true
 		}
-		c.heldOut = true
+		c.skipLimited = true
 	}
 	return nil, false
 }
@@ -205,29 +205,29 @@
 	if found, ok := c.finder.Find(c.holders); ok {
 		return found, true
 	}
-	c.hops(hopFar)
+	c.hops(hopCostAcrossHalls)
 	found, ok := c.finder.Find(c.holders)
 	return found, ok && g.lines.Allow(q.service.Model, need, g.peers.Size())
 }
 
 // reserveMove reserves room along the cheapest chain to which a running request can be moved. The
 // first endpoint stays, and so do the others unless they are avoided, as the lost one is.
-func (g *Gateway) moveSeat(q *query, old *seat, lost *backend) (*seat, shortage) {
+func (g *Gateway) reserveMove(q *query, old *reservation, lost *backend) (*reservation, shortage) {
 	f := g.fleet.Load()
 	c := choosers.Get().(*chooser)
 	defer choosers.Put(c)
 	need := q.tokens()
-	c.prepare(q.service.Model, f, g.Hall, g.others(q.service.Name))
-	c.together = lost.use.together()
+	c.prepare(q.service.Model, f, g.Hall, g.peerFlow(q.service.Name))
+	c.fleetFactor = lost.use.together()
 	c.isolated = isolation.Plan{} // the first endpoint of the chain stays
-	c.collect(q, f, need, useSound)
-	c.keep(old, q, time.Now())
+	c.collect(q, f, need, skipAvoidedAndFull)
+	c.keepChain(old, q, time.Now())
 	found, ok := g.find(c, q, need)
 	if !ok || found[0] != old.chain[0] {
 		return nil, shortageLayers
 	}
-	return newSeat(found, need, func(p chain.Part) *backend {
-		if b := old.part(p); b != nil {
+	return newReservation(found, need, func(p chain.Part) *backend {
+		if b := old.backend(p); b != nil {
 			return b // it may have left the fleet, and still runs its requests
 		}
 		return f.byID[p.ID]
@@ -237,7 +237,7 @@
 // promptReadTime returns the expected time until the endpoints that were not part of the old
 // reservation have read the prompt. fleetFactor is the number of requests of all gateways for each
 // one of this gateway.
-func (s *seat) readTime(q *query, old *seat, together float64) time.Duration {
+func (s *reservation) promptReadTime(q *query, old *reservation, fleetFactor float64) time.Duration {
 	m := q.service.Model
 	parts := make([]reread.Part, 0, len(s.parts))
 	for i, b := range s.parts {
@@ -250,12 +250,12 @@
 		})
 	}
 	alone := time.Duration(float64(q.Prompt) / m.ReadRate * float64(time.Second))
-	return reread.Time(parts, alone, together)
+	return reread.Time(parts, alone, fleetFactor)
 }
 
 // backend returns the backend of the reservation that a part of a chain names, nil for none.
 // Another incarnation with the same ID has another address.
-func (s *seat) part(p chain.Part) *backend {
+func (s *reservation) backend(p chain.Part) *backend {
 	for _, b := range s.parts {
 		if b.ID == p.ID && b.Address == p.Address {
 			return b
@@ -265,10 +265,10 @@
 }
 
 // newReservation reserves room along a chain. backendOf maps its parts to backends.
-func newSeat(found chain.Chain, need int, of func(chain.Part) *backend) *seat {
-	s := &seat{chain: found, reading: true}
+func newReservation(found chain.Chain, need int, backendOf func(chain.Part) *backend) *reservation {
+	s := &reservation{chain: found, readingPrompt: true}
 	for _, p := range found {
-		b := of(p)
+		b := backendOf(p)
 		memory := int64(need * p.Layers.Len())
 		b.use.take(memory)
 		b.use.reading.Add(1)
--- a/role/gateway/stream.go
+++ b/role/gateway/stream.go
@@ -54,7 +54,7 @@
 	sentAt time.Time
 	// reserved is the reservation of the next attempt, already charged to the retry budget, when
 	// the last attempt was abandoned for it; nil otherwise.
-	reserved *seat
+	reserved *reservation
 }
 
 // serveModel serves a request of a model. It reports whether the answer has broken off and must not
@@ -128,7 +128,7 @@
 // nextReservation returns the reservation for which the last attempt was abandoned, or makes one,
 // and takes a retry from the budget when the request may already have reached an endpoint. It waits
 // in the queue for as long as the request may.
-func (s *relay) seat() (*seat, shortage) {
+func (s *relay) seat() (*reservation, shortage) {
 	if short := s.g.awaitIsolation(s.q); short != shortageNone {
 		return nil, short
 	}
@@ -157,7 +157,7 @@
 // already has events waits for one as long as its caller does; any other request is refused at
 // once, since its caller can retry.
 func (s *relay) allowed(until time.Time) bool {
-	for !s.g.again(s.q, s.q.cause) {
+	for !s.g.allowRetry(s.q, s.q.cause) {
 		if !s.headSent || !time.Now().Before(until) || s.q.r.Context().Err() != nil {
 			return false
 		}
@@ -184,7 +184,7 @@
 
 // attempt sends the request along a chain and passes the events on. It reports whether the request
 // has ended, or else why not.
-func (s *relay) try(seat *seat) (bool, string) {
+func (s *relay) try(seat *reservation) (bool, string) {
 	q, g := s.q, s.g
 	q.note(seat.chain.String())
 	ctx, cancel := context.WithDeadlineCause(q.r.Context(), q.deadline, context.DeadlineExceeded)
@@ -201,7 +201,7 @@
 		q.cause = causeNotRun
 		s.blame(seat, t)
 		return false, notRunReason(t)
-	case verdictLost, verdictOver:
+	case verdictLost, verdictEnded:
 		q.cause = causeLost
 		q.ran = append(q.ran, seat.first)
 		if t.verdict == verdictLost {
@@ -219,7 +219,7 @@
 }
 
 // noteRefusal records which endpoint of a chain refused.
-func (s *relay) blame(seat *seat, t try) {
+func (s *relay) blame(seat *reservation, t attempt) {
 	address := seat.first.Address
 	if t.answer != nil && t.reply.Blamed != "" {
 		address = t.reply.Blamed
@@ -245,7 +245,7 @@
 }
 
 // passWhole passes on an answer that is not a stream.
-func (s *relay) whole(t try, seat *seat) (bool, string) {
+func (s *relay) whole(t attempt, seat *reservation) (bool, string) {
 	body, err := t.answer.ReadAll()
 	if err != nil || s.headSent || t.answer.Status >= http.StatusInternalServerError && s.q.route.Repeats() {
 		seat.first.use.judge(health.Record.WithFailure)
@@ -259,7 +259,7 @@
 
 // events passes events on until the stream ends or breaks. It reports whether the request has
 // ended, or else why not.
-func (s *relay) events(t try, seat *seat, w *watchdog) (bool, string) {
+func (s *relay) events(t attempt, seat *reservation, w *watchdog) (bool, string) {
 	reader := event.Reader{Source: bufio.NewReaderSize(t.answer, eventBuffer), Max: maxEvent}
 	for {
 		e, err := reader.Next()
@@ -270,7 +270,7 @@
 		if err != nil {
 			return false, s.broken(seat, w, err)
 		}
-		w.event()
+		w.noteEvent()
 		if err := s.pass(t, e, reader.Source.Buffered() == 0); err != nil {
 			s.q.set(s.q.status, outcomeLeft, err.Error())
 			return true, ""
@@ -279,7 +279,7 @@
 }
 
 // pass writes one event to the caller, preceded by the head if it is the first.
-func (s *relay) pass(t try, e event.Event, flush bool) error {
+func (s *relay) pass(t attempt, e event.Event, flush bool) error {
 	now := time.Now()
 	if !s.headSent {
 		s.head(t)
@@ -306,7 +306,7 @@
 }
 
 // head writes the head of the answer to the caller.
-func (s *relay) head(t try) {
+func (s *relay) head(t attempt) {
 	s.headSent = true
 	s.q.set(t.answer.Status, outcomeServed, "")
 	copyHeader(s.q.w.Header(), t.answer.Header)
@@ -314,7 +314,7 @@
 }
 
 // finish ends a stream that is complete.
-func (s *relay) finish(t try) string {
+func (s *relay) finish(t attempt) string {
 	if !s.headSent {
 		s.head(t)
 	}
@@ -326,7 +326,7 @@
 }
 
 // broken records that a chain broke and returns why.
-func (s *relay) broken(seat *seat, w *watchdog, err error) string {
+func (s *relay) broken(seat *reservation, w *watchdog, err error) string {
 	q := s.q
 	if q.r.Context().Err() != nil {
 		return "the caller left"
--- a/role/gateway/suspect.go
+++ b/role/gateway/suspect.go
@@ -235,7 +235,7 @@
 	ran := b.use.watchers.begun(b.ID, now) // before the watchdogs that wait for this check unregister
 	b.use.markDown(now, ended)
 	g.Log.Info().Str("endpoint", b.ID).Str("address", b.Address).Err(err).Bool("ended", ended).
-		Strs("begun", prints(ran)).Dur("took_ms", now.Sub(begun)).Msg("endpoint does not answer")
+		Strs("begun", fingerprints(ran)).Dur("took_ms", now.Sub(begun)).Msg("endpoint does not answer")
 	g.spreadLoss(b)
 	if ended {
 		g.quarantine.Report(b.life(), ran, now)
@@ -278,7 +278,7 @@
 // announceLoss has the streams through a lost endpoint moved, and notifies the other gateways at
 // once.
 func (g *Gateway) spreadLoss(b *backend) {
-	b.use.watchers.kick()
+	b.use.watchers.checkSoon()
 	if b.use.down() && b.use.witnesses.Count(time.Now()) < enoughWitnesses {
 		g.gossip.TellLoss(b.ID)
 	}
--- a/role/gateway/try.go
+++ b/role/gateway/try.go
@@ -23,11 +23,11 @@
 	// verdictLost means that the endpoint did not answer properly; it may have run the request.
 	verdictLost
 	// verdictEnded means that the caller has left or the deadline has passed.
-	verdictOver
+	verdictEnded
 )
 
 // attempt is one send of a request.
-type try struct {
+type attempt struct {
 	answer *upstream.Answer
 	reply  exchange.Reply
 	verdict
@@ -39,13 +39,13 @@
 // maxConnIdleNonRepeatable if the request must not be sent twice: an endpoint may close an idle
 // connection at any time, and a request sent while it does may have run.
 const (
-	connectionRest     = 10 * time.Second
-	connectionRestOnce = 200 * time.Millisecond
+	maxConnIdle     = 10 * time.Second
+	maxConnIdleNonRepeatable = 200 * time.Millisecond
 )
 
 // send sends a request to a backend and waits for the head of the answer. The caller closes the
 // answer of the attempt, if any.
-func (g *Gateway) send(ctx context.Context, q *query, b *backend, c chain.Chain, after string) try {
+func (g *Gateway) send(ctx context.Context, q *query, b *backend, c chain.Chain, after string) attempt {
 	q.sends++
 	q.last, q.sentAt = b, time.Now()
 	q.reached.Store(false)
@@ -55,24 +55,24 @@
 	})
 	call := upstream.Call{
 		Address: b.Address, Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host, Header: header,
-		Body: q.body, HasBody: q.hasBody, Rest: connectionRest, Wrote: func() { q.reached.Store(true) },
+		Body: q.body, HasBody: q.hasBody, Rest: maxConnIdle, Wrote: func() { q.reached.Store(true) },
 		Mine: func(h http.Header) bool {
 			id := g.Dialect.Reply(0, h).ID
 			return id == q.ID || id == "" // a refusal need not carry the request ID
 		},
 	}
 	if !q.route.Repeats() {
-		call.Rest = connectionRestOnce
+		call.Rest = maxConnIdleNonRepeatable
 	}
 	answer, err := g.pool.Do(ctx, call)
 	if err != nil {
-		return g.lost(ctx, q, b, err)
+		return g.sendFailed(ctx, q, b, err)
 	}
 	q.arrived.Store(true)
-	t := try{answer: answer, reply: g.Dialect.Reply(answer.Status, answer.Header)}
+	t := attempt{answer: answer, reply: g.Dialect.Reply(answer.Status, answer.Header)}
 	g.noteLoad(b, t.reply)
 	t.reply.Word.Sent, t.reply.Word.Heard = q.sentAt, time.Now()
-	if ownWord(t) {
+	if isOwnReport(t) {
 		g.throttling.Hear(b.ID, &b.use.intake, t.reply.Word)
 	}
 	switch {
@@ -95,7 +95,7 @@
 
 // isOwnReport reports whether an answer certainly comes from the endpoint itself. A misdirected
 // request has reached another endpoint at its address, whose limits do not apply.
-func ownWord(t try) bool {
+func isOwnReport(t attempt) bool {
 	return t.reply.Signed || t.reply.NotRun && t.answer.Status != http.StatusMisdirectedRequest
 }
 
@@ -103,8 +103,8 @@
 var errUnsigned = errors.New("the endpoint does not vouch for its answer")
 
 // sendFailed judges a send that got no head of an answer.
-func (g *Gateway) lost(ctx context.Context, q *query, b *backend, err error) try {
-	t := try{verdict: verdictLost, err: err}
+func (g *Gateway) sendFailed(ctx context.Context, q *query, b *backend, err error) attempt {
+	t := attempt{verdict: verdictLost, err: err}
 	var failed *upstream.SendError
 	sent := !errors.As(err, &failed) || failed.Sent
 	if sent {
@@ -114,7 +114,7 @@
 		t.verdict = verdictNotRun
 	}
 	if q.r.Context().Err() != nil || !time.Now().Before(q.deadline) {
-		t.verdict = verdictOver
+		t.verdict = verdictEnded
 		return t
 	}
 	switch {
@@ -145,11 +145,11 @@
 	causeLost   = "lost"
 	causeFailed = "failed"
 	causeBroken = "broken off"
-	causeLeft   = "left"
+	causeAbandoned   = "left"
 )
 
 // allowRetry takes a retry from the budget, counts it, and reports whether there was one.
-func (g *Gateway) again(q *query, cause string) bool {
+func (g *Gateway) allowRetry(q *query, cause string) bool {
 	if !g.retries.Allow(q.service.Name, time.Now()) {
 		return false
 	}
--- a/role/gateway/watchers.go
+++ b/role/gateway/watchers.go
@@ -11,9 +11,9 @@
 type watchers struct{ set.Set[*watchdog] }
 
 // checkSoon has all watchdogs check soon.
-func (s *watchers) kick() {
+func (s *watchers) checkSoon() {
 	for _, w := range s.Values() {
-		w.kick()
+		w.checkSoon()
 	}
 }
 
@@ -21,8 +21,8 @@
 func (s *watchers) begun(endpoint string, now time.Time) []suspects.Begun {
 	var list []suspects.Begun
 	for _, w := range s.Values() {
-		if w.begins(now) {
-			list = append(list, suspects.Begun{Print: w.relay.q.print, Tried: w.tries(endpoint)})
+		if w.justStarted(now) {
+			list = append(list, suspects.Begun{Print: w.relay.q.print, Tried: w.isolatedAt(endpoint)})
 		}
 	}
 	return list
