--- a/role/gateway/admission.go
+++ b/role/gateway/admission.go
@@ -14,20 +14,20 @@
 	return admission.Request{
 		Service: q.service.Name, Team: q.team, Priority: maxPriority - q.priority,
 		Route: q.route.Timeout, Patience: q.Patience, Objective: objective(q.route),
-		Start: q.start, Deadline: q.deadline, Returned: q.returned, Begun: q.arrived.Load(),
+		Start: q.start, Deadline: q.deadline, Returned: q.returned, Begun: q.everReached.Load(),
 	}
 }
 
 // reserveQueued waits in the queue for a reservation. A request that would have to wait for longer
 // than it may is refused at once, and so is a new one when no chain holds all layers.
-func (g *Gateway) takeTurn(q *query, turn admission.Turn) (*reservation, shortage) {
+func (g *Gateway) reserveQueued(q *query, turn admission.Turn) (*reservation, shortage) {
 	r := q.waiting()
 	if !r.Begun {
-		q.ahead = g.line.Waiting()
+		q.ahead = g.queue.Waiting()
 		defer func(since time.Time) { q.waited = time.Since(since) }(time.Now())
 	}
 	found := shortageRoom
-	taken, report := g.line.Enter(q.r.Context(), r, turn, func() (*reservation, gate.Answer) {
+	taken, report := g.queue.Enter(q.r.Context(), r, turn, func() (*reservation, gate.Answer) {
 		taken, short := g.reserve(q)
 		found = short
 		switch {
@@ -35,7 +35,7 @@
 			return taken, gate.Granted
 		case short == shortageLayers && turn.Urgency == urgency.New:
 			return nil, gate.Never
-		case short == shortageHeld && q.takenFrom(time.Now()).After(turn.Until): // the refusal carries a Retry-After delay
+		case short == shortageHeld && q.availableFrom(time.Now()).After(turn.Until): // the refusal carries a Retry-After delay
 			return nil, gate.Never
 		}
 		return nil, gate.Full
@@ -51,10 +51,10 @@
 
 // queueTerms returns how the request waits for a reservation at now: one whose caller already has
 // events waits for as long as the caller accepts a pause.
-func (s *relay) turn(now time.Time) admission.Turn {
-	turn := s.g.line.Turn(s.q.waiting(), now)
+func (s *relay) queueTerms(now time.Time) admission.Turn {
+	turn := s.g.queue.Turn(s.q.waiting(), now)
 	if s.headSent {
-		turn.Until = s.lastAt.Add(pauseWait * allowedPause(s.q.route))
+		turn.Until = s.lastAt.Add(pauseWaitFactor * allowedPause(s.q.route))
 	}
 	return turn
 }
--- a/role/gateway/chooser.go
+++ b/role/gateway/chooser.go
@@ -38,7 +38,7 @@
 	// entryCandidates counts the endpoints at which a chain may begin. held lists those of them
 	// that accept nothing now.
 	entryCandidates int
-	held   []*backend
+	held            []*backend
 }
 
 // choosers recycles the working memory of choosers.
@@ -63,8 +63,8 @@
 		}
 	}
 	for i, p := range old.chain {
-		b := old.parts[i]
-		if i > 0 && (q.avoids(p.Address) || b.use.dead(now)) {
+		b := old.backends[i]
+		if i > 0 && (q.avoids(p.Address) || b.use.presumedDead(now)) {
 			continue
 		}
 		card := q.service.Model.Cards[b.Card]
--- a/role/gateway/digest.go
+++ b/role/gateway/digest.go
@@ -11,7 +11,7 @@
 
 // checkReportTime is how long a passed check is reported to others: for as long as it may count for
 // the last of the gateways that would check the endpoint.
-const checkedTold = 3 * time.Second
+const checkReportTime = 3 * time.Second
 
 // Digest returns the use that this gateway makes of endpoints at now, plus that of others in its
 // hall.
@@ -26,27 +26,27 @@
 	if others == nil { // a hall's digest does not repeat what its gateways say themselves
 		g.partition.Tell(d)
 	}
-	if others != nil && now.UnixNano()-g.leaderNear.Load() < int64(wordFresh) {
+	if others != nil && now.UnixNano()-g.leaderDirectAt.Load() < int64(reportFresh) {
 		d.Leading = true // the leader is in this hall
 	}
 	g.membership.Tell(d, now)
 	for id, b := range g.fleet.Load().byID {
-		if b.use.untouched(now) && (others == nil || others[id] == peers.Share{}) {
+		if b.use.unused(now) && (others == nil || others[id] == peers.Share{}) {
 			continue // the case of most endpoints of a large fleet
 		}
 		checked := b.use.checkedAt.Load()
 		if others != nil && b.Hall == g.Hall { // a hall's digest is authoritative on its own endpoints
 			checked = max(checked, b.use.othersCheckedAt.Load())
 		}
-		use := b.use.told(now, others[id], checked)
+		use := b.use.digestEntry(now, others[id], checked)
 		if held, odd := b.misheld(now); odd && use.GetCheckedMillis() > 0 {
 			use.Misheld, use.HeldFirst, use.HeldEnd = true, uint32(held.First), uint32(held.End)
 		}
 		if d.GetLeading() {
-			b.use.tellOrder(use, now)
+			b.use.addOrder(use, now)
 		}
 		g.throttling.Tell(use, &b.use.intake, others[id], others != nil, now)
-		if silentUse(use) {
+		if isEmptyUse(use) {
 			continue
 		}
 		use.Endpoint = id
@@ -57,20 +57,20 @@
 
 // unused reports whether this gateway has no requests at the endpoint and knows nothing of it that
 // others might not know.
-func (u *usage) untouched(now time.Time) bool {
+func (u *usage) unused(now time.Time) bool {
 	at := now.UnixNano()
-	lately := max(u.checkedAt.Load(), u.othersCheckedAt.Load())
+	latest := max(u.checkedAt.Load(), u.othersCheckedAt.Load())
 	return u.active.Load() == 0 && u.held.Load() == 0 && !u.down() && at >= u.stalledUntil.Load() &&
-		at-lately >= int64(checkedTold) && u.ordered.Load() == nil && !u.intake.Tells(now)
+		at-latest >= int64(checkReportTime) && u.pendingOrder.Load() == nil && !u.intake.Tells(now)
 }
 
 // digestEntry returns the digest entry of an endpoint at now, plus the use by others; checked is
 // when it last passed a check, in nanoseconds of Unix time.
-func (u *usage) told(now time.Time, others peers.Share, checked int64) *gossip.Use {
+func (u *usage) digestEntry(now time.Time, others peers.Share, checked int64) *gossip.Use {
 	s := peers.Share{
 		Active: u.active.Load(), Entered: u.entered.Load(), Held: u.held.Load(), Reading: u.reading.Load(),
 	}
-	if u.down() && now.UnixNano()-u.silentAt.Load() < int64(wordFresh) {
+	if u.down() && now.UnixNano()-u.silentAt.Load() < int64(reportFresh) {
 		s.Down = 1
 	}
 	s = s.Plus(others)
@@ -79,7 +79,7 @@
 		Reading: uint32(max(s.Reading, 0)), Down: uint32(max(s.Down, 0)),
 		AvoidedMillis: uint32(max((u.stalledUntil.Load()-now.UnixNano())/int64(time.Millisecond), 0)),
 	}
-	if age := now.UnixNano() - checked; age < int64(checkedTold) {
+	if age := now.UnixNano() - checked; age < int64(checkReportTime) {
 		use.CheckedMillis = uint32(time.Duration(age).Milliseconds()) + 1
 		if slow := u.slowness(now); slow > pace.Unit {
 			use.Pace = uint32(slow)
@@ -89,13 +89,13 @@
 }
 
 // isEmptyUse reports whether a use contains nothing that others need to know.
-func silentUse(use *gossip.Use) bool {
+func isEmptyUse(use *gossip.Use) bool {
 	return use.GetActive() == 0 && use.GetHeld() == 0 && use.GetAvoidedMillis() == 0 && use.GetDown() == 0 &&
 		use.GetCheckedMillis() == 0 && use.GetOrderedEnd() == 0 && use.GetLimitAgeMillis() == 0 && use.GetWantedMillis() == 0
 }
 
 // addOrder adds the order that the endpoint carries out, if there is one.
-func (u *usage) tellOrder(use *gossip.Use, now time.Time) {
+func (u *usage) addOrder(use *gossip.Use, now time.Time) {
 	order := u.orderedLayers(now)
 	use.OrderedFirst, use.OrderedEnd = uint32(order.First), uint32(order.End)
 }
@@ -109,11 +109,11 @@
 		g.partition.Hear(d.GetGateway(), d.GetOutage(), now)
 	}
 	if d.GetLeading() {
-		g.directedAt.Store(now.UnixNano())
+		g.leaderHeardAt.Store(now.UnixNano())
 		if d.GetMembers() == 0 { // only the leader's own digest is relayed: otherwise an echo would never end
-			g.leaderNear.Store(now.UnixNano())
+			g.leaderDirectAt.Store(now.UnixNano())
 		}
-		g.hearOrders(f, d, now)
+		g.handleOrders(f, d, now)
 	}
 	for _, use := range d.GetUses() {
 		b := f.byID[use.GetEndpoint()]
@@ -130,10 +130,10 @@
 		}
 		g.throttling.HearOthers(b.ID, &b.use.intake, use, d.GetMembers() > 0, now)
 		if use.GetAvoidedMillis() > 0 {
-			g.adoptStall(b, now, time.Duration(use.GetAvoidedMillis())*time.Millisecond)
+			g.handleStallReport(b, now, time.Duration(use.GetAvoidedMillis())*time.Millisecond)
 		}
 		if use.GetDown() > 0 && d.GetMembers() == 0 {
-			g.hearDown(b, d.GetGateway(), now)
+			g.handleDownReport(b, d.GetGateway(), now)
 		}
 	}
 }
@@ -141,7 +141,7 @@
 // Lost handles the report that an endpoint does not answer another gateway.
 func (g *Gateway) Lost(l *gossip.Loss, now time.Time) {
 	if b := g.fleet.Load().byID[l.GetEndpoint()]; b != nil {
-		g.hearDown(b, l.GetGateway(), now)
+		g.handleDownReport(b, l.GetGateway(), now)
 	}
 }
 
@@ -154,29 +154,29 @@
 // may be cut off itself: its report alone only causes a check, if this gateway uses the endpoint or
 // is one of its checkers. After reports by two gateways the endpoint is avoided, and streams
 // through it whose events are overdue are moved.
-func (g *Gateway) hearDown(b *backend, from string, now time.Time) {
+func (g *Gateway) handleDownReport(b *backend, from string, now time.Time) {
 	if b.use.down() {
 		return
 	}
-	news := b.use.witnesses.Count(now) == 0
+	isNew := b.use.witnesses.Count(now) == 0
 	if b.use.witnesses.Say(from, now) >= enoughWitnesses && !b.use.contradicted(now) {
-		g.believe(b, now)
+		g.believeDown(b, now)
 	}
 	switch {
-	case news && b.use.active.Load() > 0 && !b.use.passed(now):
-		g.suspect(b)
-	case b.use.active.Load() > 0 || g.looksAfter(b):
-		g.doubt(b, now)
+	case isNew && b.use.active.Load() > 0 && !b.use.hasRecentEvent(now):
+		g.checkAsync(b)
+	case b.use.active.Load() > 0 || g.isChecker(b):
+		g.checkIfUncertain(b, now)
 	}
 }
 
 // believeDown presumes an endpoint dead because other gateways report it down.
-func (g *Gateway) believe(b *backend, now time.Time) {
-	known := b.use.dead(now)
-	if now.UnixNano() > b.use.toldUntil.Load() {
-		b.use.toldSince.Store(now.UnixNano())
+func (g *Gateway) believeDown(b *backend, now time.Time) {
+	known := b.use.presumedDead(now)
+	if now.UnixNano() > b.use.reportedDownUntil.Load() {
+		b.use.reportedDownSince.Store(now.UnixNano())
 	}
-	b.use.toldUntil.Store(now.Add(wordFresh).UnixNano())
+	b.use.reportedDownUntil.Store(now.Add(reportFresh).UnixNano())
 	if known {
 		return
 	}
@@ -187,15 +187,15 @@
 
 // handleOrders records the orders under way. While this gateway itself gives orders, those of
 // another leader, whose right has ended, are added to its own.
-func (g *Gateway) hearOrders(f *fleet, d *gossip.Digest, now time.Time) {
-	told := make(map[string]layer.Range, len(d.GetUses()))
+func (g *Gateway) handleOrders(f *fleet, d *gossip.Digest, now time.Time) {
+	reported := make(map[string]layer.Range, len(d.GetUses()))
 	for _, use := range d.GetUses() {
-		told[use.GetEndpoint()] = layer.Range{First: int(use.GetOrderedFirst()), End: int(use.GetOrderedEnd())}
+		reported[use.GetEndpoint()] = layer.Range{First: int(use.GetOrderedFirst()), End: int(use.GetOrderedEnd())}
 	}
 	leading := g.leading.Load()
 	for id, b := range f.byID {
-		layers := told[id]
-		if layers.Empty() && (leading || b.use.ordered.Load() == nil) {
+		layers := reported[id]
+		if layers.Empty() && (leading || b.use.pendingOrder.Load() == nil) {
 			continue
 		}
 		b.use.setOrdered(layers, now)
@@ -203,16 +203,16 @@
 }
 
 // leaderHeard reports whether the gateway that gives orders has reported so recently.
-func (g *Gateway) directed(now time.Time) bool {
-	return now.UnixNano()-g.directedAt.Load() < int64(wordFresh)
+func (g *Gateway) leaderHeard(now time.Time) bool {
+	return now.UnixNano()-g.leaderHeardAt.Load() < int64(reportFresh)
 }
 
 // handleStallReport avoids an endpoint for as long as another gateway does, and has the streams
 // through it moved unless it was already presumed dead.
-func (g *Gateway) adoptStall(b *backend, now time.Time, wait time.Duration) {
-	news := !b.use.dead(now)
+func (g *Gateway) handleStallReport(b *backend, now time.Time, wait time.Duration) {
+	isNew := !b.use.presumedDead(now)
 	b.use.othersStalled.Store(now.Add(wait).UnixNano())
-	if news {
+	if isNew {
 		b.use.watchers.checkSoon()
 	}
 }
--- a/role/gateway/fleet.go
+++ b/role/gateway/fleet.go
@@ -79,7 +79,7 @@
 	pace pace.Pace
 	// noRoomUntil is until when it is avoided after it refused for lack of room, in nanoseconds of
 	// Unix time.
-	shortUntil atomic.Int64
+	noRoomUntil atomic.Int64
 	// stalledUntil is until when it is avoided after it held requests up, as observed by this
 	// gateway, othersStalled as reported by others, in nanoseconds of Unix time; stalls counts the
 	// times that it did.
@@ -89,11 +89,11 @@
 	// downSince is when it was found not to answer, 0 while it answers, silentAt when it last gave
 	// no answer, and reportedDownUntil until when it is presumed dead because other gateways report
 	// it down, in nanoseconds of Unix time.
-	downSince, silentAt, toldUntil atomic.Int64
+	downSince, silentAt, reportedDownUntil atomic.Int64
 	// reportedDownSince is since when it is presumed dead because of their reports, and
 	// contradictedUntil until when these reports do not count because it has answered this gateway
 	// meanwhile, in nanoseconds of Unix time.
-	toldSince, contradictedUntil atomic.Int64
+	reportedDownSince, contradictedUntil atomic.Int64
 	// witnesses are the other gateways that report it down.
 	witnesses witnesses.Witnesses
 	// begun are the requests that it had just started when it was found silent, nil once it is
@@ -105,27 +105,27 @@
 	ended atomic.Bool
 	// checking is set while it is checked, recheckingStarved while it is checked repeatedly because
 	// this process was starved of processor time.
-	checking, heldUp atomic.Bool
+	checking, recheckingStarved atomic.Bool
 	// checkedAt is when it last answered a check, and othersCheckedAt when it last answered one of
 	// another gateway, in nanoseconds of Unix time.
 	checkedAt, othersCheckedAt atomic.Int64
 	// holding is what it reports to hold while its record differs, nil for none.
 	holding atomic.Pointer[holding.Holding]
 	// pendingOrder is the order that it carries out, nil for none known.
-	ordered atomic.Pointer[ordered]
+	pendingOrder atomic.Pointer[pendingOrder]
 	// watchers watch the streams that pass through it.
 	watchers watchers
 	// waiting is the number of queued requests that it last reported, loadReportedAt when it did,
 	// in nanoseconds of Unix time.
-	waiting, said atomic.Int64
-	health        atomic.Pointer[health.Record]
+	waiting, loadReportedAt atomic.Int64
+	health                  atomic.Pointer[health.Record]
 	// intake holds the limit and backoff period that it has asked for.
 	intake intake.Intake
 }
 
 // newUsage returns the usage of an endpoint that is not used yet.
 func newUsage() *usage {
-	u := &usage{witnesses: witnesses.Witnesses{Fresh: wordFresh}}
+	u := &usage{witnesses: witnesses.Witnesses{Fresh: reportFresh}}
 	u.health.Store(new(health.Record))
 	return u
 }
@@ -158,7 +158,7 @@
 // orderedLayers returns the layers of the order that the endpoint carries out at now, empty for
 // none.
 func (u *usage) orderedLayers(now time.Time) layer.Range {
-	order := u.ordered.Load()
+	order := u.pendingOrder.Load()
 	if order == nil || now.After(order.until) {
 		return layer.Range{}
 	}
@@ -168,14 +168,14 @@
 // setOrdered records the order that the leader reports for the endpoint, empty layers for none.
 func (u *usage) setOrdered(layers layer.Range, now time.Time) {
 	if layers.Empty() {
-		u.ordered.Store(nil)
+		u.pendingOrder.Store(nil)
 		return
 	}
-	u.ordered.Store(&ordered{layers: layers, until: now.Add(orderWait)})
+	u.pendingOrder.Store(&pendingOrder{layers: layers, until: now.Add(orderWait)})
 }
 
 // updateHealth atomically replaces the health record by the result of change.
-func (u *usage) judge(change func(health.Record) health.Record) {
+func (u *usage) updateHealth(change func(health.Record) health.Record) {
 	for {
 		old := u.health.Load()
 		next := change(*old)
@@ -187,15 +187,15 @@
 
 // avoided reports whether new requests avoid the endpoint at now.
 func (u *usage) avoided(now time.Time) bool {
-	return u.dead(now) || u.lost(now) || now.UnixNano() < u.shortUntil.Load() || u.health.Load().Avoided(now)
+	return u.presumedDead(now) || u.reportedDown(now) || now.UnixNano() < u.noRoomUntil.Load() || u.health.Load().Avoided(now)
 }
 
 // presumedDead reports whether the endpoint is presumed to have ended, or to be cut off, at now:
 // the requests that run there are lost. The loss of a single request there says nothing about the
 // others.
-func (u *usage) dead(now time.Time) bool {
+func (u *usage) presumedDead(now time.Time) bool {
 	at := now.UnixNano()
-	return u.down() || at < u.stalledUntil.Load() || at < u.othersStalled.Load() || at < u.toldUntil.Load()
+	return u.down() || at < u.stalledUntil.Load() || at < u.othersStalled.Load() || at < u.reportedDownUntil.Load()
 }
 
 // enoughWitnesses is the number of other gateways whose reports alone make an endpoint presumed
@@ -204,7 +204,7 @@
 
 // reportedDown reports whether other gateways report the endpoint down while no event has recently
 // come through it here. It then gets no new requests; those that run there are checked.
-func (u *usage) lost(now time.Time) bool {
+func (u *usage) reportedDown(now time.Time) bool {
 	return u.othersDown.Load() >= enoughWitnesses && !u.contradicted(now) && now.UnixNano()-u.eventAt.Load() > int64(workingEventAge)
 }
 
@@ -216,12 +216,12 @@
 
 // noteAnswered records that the endpoint has answered a question asked at begun, and reports
 // whether it had been presumed dead because others reported it down.
-func (u *usage) answered(begun, now time.Time) bool {
-	if u.witnesses.Count(now) == 0 || begun.UnixNano() <= u.toldSince.Load() {
+func (u *usage) noteAnswered(begun, now time.Time) bool {
+	if u.witnesses.Count(now) == 0 || begun.UnixNano() <= u.reportedDownSince.Load() {
 		return false
 	}
-	u.contradictedUntil.Store(now.Add(contradicts).UnixNano())
-	return now.UnixNano() < u.toldUntil.Swap(0)
+	u.contradictedUntil.Store(now.Add(contradictionTime).UnixNano())
+	return now.UnixNano() < u.reportedDownUntil.Swap(0)
 }
 
 // down reports whether the endpoint does not answer this gateway.
@@ -238,7 +238,7 @@
 }
 
 // hasRecentEvent reports whether an event has just come through the endpoint.
-func (u *usage) passed(now time.Time) bool {
+func (u *usage) hasRecentEvent(now time.Time) bool {
 	return now.UnixNano()-u.eventAt.Load() < int64(passedFresh)
 }
 
@@ -247,23 +247,23 @@
 var stallWait = backoff.Backoff{Base: 3 * time.Second, Max: 12 * time.Second}
 
 // noteStall records at now that the endpoint held requests up.
-func (u *usage) stall(now time.Time) {
+func (u *usage) noteStall(now time.Time) {
 	u.stalledUntil.Store(now.Add(stallWait.Delay(int(u.stalls.Add(1)), 0)).UnixNano())
 }
 
 // maxFleetFactor bounds how many requests of all gateways count for each one of this gateway, which
 // may have only one of a few.
-const maxTogether = 64
+const maxFleetFactor = 64
 
 // fleetFactor returns the number of requests of all gateways at the endpoint for each one of this
 // gateway. When the endpoint is lost they are all moved at once, and each gateway sees only its
 // own.
-func (u *usage) together() float64 {
+func (u *usage) fleetFactor() float64 {
 	own, others := u.active.Load(), u.othersActive.Load()
 	if own <= 0 || others <= 0 {
 		return 1
 	}
-	return min(1+float64(others)/float64(own), maxTogether)
+	return min(1+float64(others)/float64(own), maxFleetFactor)
 }
 
 // take and release count a request that needs the given memory.
--- a/role/gateway/follow.go
+++ b/role/gateway/follow.go
@@ -21,15 +21,15 @@
 	// start with it announce themselves, which all hosts of a fleet do within 0.3 s. gatherReads is
 	// how often it reads the store for them, from possibly stale pages, before it asks the store
 	// for changes itself.
-	gatherRest     = 400 * time.Millisecond
-	gatherReadings = 4
+	gatherPause = 400 * time.Millisecond
+	gatherReads = 4
 )
 
 // follow keeps the gateway's view of the store current until ctx ends.
 func (g *Gateway) follow(ctx context.Context) {
 	m := mirror.Mirror{
 		Feed: &g.feed, Wait: g.policy().Wait(), Settle: min(changesSettle, g.policy().Wait()), Grace: lapseGrace,
-		Now: g.Clock, Refresh: g.refreshed, Put: g.put, Gone: g.gone, Partial: g.partial, Unhurried: g.unhurried, Unproven: g.unproven, Confirm: g.confirm,
+		Now: g.Clock, Refresh: g.refreshed, Put: g.put, Gone: g.gone, Partial: g.partial, Unhurried: g.fleetStarting, Unproven: g.unproven, Confirm: g.confirm,
 		Log: g.Log,
 		Lost: func(err error) {
 			g.failing.Store(true)
@@ -47,7 +47,7 @@
 		return
 	}
 	if p.Key == leaderKey {
-		g.led.Store(true)
+		g.hasLeaderKey.Store(true)
 		return
 	}
 	if g.announcer.Put(p) || g.quarantine.Put(p, time.Now()) {
@@ -59,7 +59,7 @@
 // gone handles the removal of a key.
 func (g *Gateway) gone(key string, revision uint64) {
 	if key == leaderKey {
-		g.led.Store(false)
+		g.hasLeaderKey.Store(false)
 		g.Log.Info().Msg("nobody gives orders")
 		return
 	}
@@ -100,16 +100,16 @@
 
 // fleetStarting reports whether no gateway is announced, not even a former incarnation of this one:
 // then the fleet is starting, and has no callers yet.
-func (g *Gateway) unhurried() bool {
+func (g *Gateway) fleetStarting() bool {
 	return g.announcer.Known() == 0
 }
 
 // unproven records that the store has been read in a possibly outdated state. The changes since
 // then are requested from another gateway, once one is known.
-func (g *Gateway) unproven(readings int) (rest time.Duration, again bool) {
+func (g *Gateway) unproven(readings int) (pause time.Duration, again bool) {
 	g.read.Store(true)
 	if len(g.peers.Members(g.Name)) == 0 {
-		return gatherRest, readings < gatherReadings
+		return gatherPause, readings < gatherReads
 	}
 	return 0, false
 }
--- a/role/gateway/gateway.go
+++ b/role/gateway/gateway.go
@@ -128,22 +128,22 @@
 	// announcer keeps the announcement of this gateway in the store.
 	announcer announcer.Announcer
 	// feed is the source of the store's changes, cache holds those that others may ask for.
-	feed   watchcache.Feed
-	cache  watchcache.Cache
-	probes probe.Prober
-	lines  lines.Lines
+	feed      watchcache.Feed
+	cache     watchcache.Cache
+	probes    probe.Prober
+	hallLinks lines.Lines
 
 	// leading is set while this gateway gives orders, hasLeaderKey while the store holds the key of
 	// any leader.
-	leading, led atomic.Bool
+	leading, hasLeaderKey atomic.Bool
 	// leaderHeardAt is when the gateway that gives orders was last heard of, and leaderDirectAt
 	// when a digest of its own last said so, in nanoseconds of Unix time.
-	directedAt, leaderNear atomic.Int64
+	leaderHeardAt, leaderDirectAt atomic.Int64
 	// currentSince is when the store was first read, or read again after an outage, in nanoseconds
 	// of Unix time.
 	currentSince atomic.Int64
 	// queue is where requests of models wait for room.
-	line admission.Line[*reservation]
+	queue admission.Line[*reservation]
 
 	// retries is this gateway's share of the retry budget.
 	retries budgets.Budgets
@@ -185,7 +185,7 @@
 	group.Go(func() { g.quarantine.Run(ctx) })
 	group.Go(func() { g.revive(ctx) })
 	group.Go(func() { g.survey(ctx) })
-	group.Go(func() { g.line.Run(ctx) })
+	group.Go(func() { g.queue.Run(ctx) })
 	group.Wait()
 }
 
@@ -239,7 +239,7 @@
 	}
 	limits := c.Limits
 	if g.partition.Alone() {
-		limits.IdleTimeout = restPartitioned
+		limits.IdleTimeout = idleTimeoutPartitioned
 	}
 	return limits
 }
--- a/role/gateway/handler.go
+++ b/role/gateway/handler.go
@@ -16,13 +16,13 @@
 // Defaults for incoming requests.
 const (
 	// defaultCallerTimeout is how long a caller is assumed to wait when it does not say.
-	defaultPatience = 30 * time.Second
+	defaultCallerTimeout = 30 * time.Second
 	// defaultMaxBody bounds a body, in bytes, where the configuration does not.
-	defaultBody = 4 << 20
+	defaultMaxBody = 4 << 20
 	// retryAfterOverload is the Retry-After delay of a refusal due to load, retryAfterStore that of
 	// one where the gateway waits for the store.
-	comeBackSoon  = 250 * time.Millisecond
-	comeBackLater = 600 * time.Millisecond
+	retryAfterOverload = 250 * time.Millisecond
+	retryAfterStore    = 600 * time.Millisecond
 	// defaultPriority is the priority of a request without one.
 	defaultPriority = 5
 	maxPriority     = 9
@@ -58,7 +58,7 @@
 			g.servePlain(q)
 		}
 	}
-	g.ended(q)
+	g.logEnd(q)
 	if abort {
 		panic(http.ErrAbortHandler) // the answer must not look complete
 	}
@@ -75,7 +75,7 @@
 	}
 	c := g.catalog.Load()
 	if c == nil {
-		g.refuse(q, comeBackLater, "no configuration is known yet")
+		g.refuse(q, retryAfterStore, "no configuration is known yet")
 		return false
 	}
 	q.version, q.proofAge = c.Version, g.proofAge()
@@ -88,26 +88,26 @@
 	if !g.authorize(q, c) || !g.readBody(q, c.Limits) {
 		return false
 	}
-	q.print = fingerprint.Of(fingerprint.Request{
+	q.fingerprint = fingerprint.Of(fingerprint.Request{
 		Method: q.r.Method, Host: q.r.Host, Target: q.r.RequestURI, Team: q.team, Body: q.body,
 	})
-	q.deadline = q.start.Add(bound(q.Patience, route.Timeout))
+	q.deadline = q.start.Add(requestTimeout(q.Patience, route.Timeout))
 	q.service = c.Services[route.Service(xxhash.Sum64String(q.ID))]
 	if q.service == nil {
-		g.refuse(q, comeBackLater, "the service of the route is not configured")
+		g.refuse(q, retryAfterStore, "the service of the route is not configured")
 		return false
 	}
 	if !g.loaded.Load() && q.service.Model == nil {
 		// A plain service has few endpoints, and those read so far would get the requests of a
 		// whole fleet: an endpoint of a service with three reset 13 of 280 requests that 286
 		// gateways sent it.
-		g.refuse(q, comeBackLater, "the store has not been read yet")
+		g.refuse(q, retryAfterStore, "the store has not been read yet")
 		return false
 	}
 	g.retries.First(q.service.Name, time.Now())
 	// A request under which three endpoints have ended would crash every endpoint that runs it: in
 	// a fleet of 33, such requests ended endpoints 57 times in 90 s.
-	if left := g.quarantine.Left(q.print, q.start); left > 0 {
+	if left := g.quarantine.Left(q.fingerprint, q.start); left > 0 {
 		g.refuse(q, left, string(shortageQuarantine))
 		return false
 	}
@@ -116,14 +116,14 @@
 
 // requestTimeout returns the smaller of a caller's time limit and a route's timeout, either of
 // which may be missing.
-func bound(patience, timeout time.Duration) time.Duration {
-	if patience <= 0 {
-		patience = defaultPatience
+func requestTimeout(callerTimeout, timeout time.Duration) time.Duration {
+	if callerTimeout <= 0 {
+		callerTimeout = defaultCallerTimeout
 	}
 	if timeout <= 0 {
-		return patience
+		return callerTimeout
 	}
-	return min(patience, timeout)
+	return min(callerTimeout, timeout)
 }
 
 // authorize finds the team of the caller's key. A revoked key must not work, so keys are accepted
@@ -133,7 +133,7 @@
 		return true
 	}
 	if !g.fresh(q) {
-		g.refuse(q, g.elsewhere(q.start), "the configuration is not known to be current")
+		g.refuse(q, g.retryAfterOutage(q.start), "the configuration is not known to be current")
 		return false
 	}
 	team, ok := c.Team(q.Key)
@@ -154,11 +154,11 @@
 	if q.r.Body == nil || q.r.Body == http.NoBody {
 		return true
 	}
-	most := limits.BodyBytes
-	if most <= 0 {
-		most = defaultBody
+	maxBytes := limits.BodyBytes
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBody
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(q.w, q.r.Body, most))
+	body, err := io.ReadAll(http.MaxBytesReader(q.w, q.r.Body, maxBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -177,7 +177,7 @@
 // otherwise another gateway may have a newer one.
 func (g *Gateway) rejectByCatalog(q *query, status int, reason string) {
 	if !g.fresh(q) {
-		g.refuse(q, g.elsewhere(q.start), "the configuration is not known to be current")
+		g.refuse(q, g.retryAfterOutage(q.start), "the configuration is not known to be current")
 		return
 	}
 	g.reject(q, status, reason)
@@ -185,21 +185,21 @@
 
 // reject answers a request that can never be served as it is.
 func (g *Gateway) reject(q *query, status int, reason string) {
-	q.set(status, outcomeRejected, reason)
+	q.setOutcome(status, outcomeRejected, reason)
 	g.answer(q, status, reason)
 }
 
 // refuse answers a request that has not run and will not run, with a Retry-After delay.
-func (g *Gateway) refuse(q *query, comeBack time.Duration, reason string) {
-	q.set(http.StatusServiceUnavailable, outcomeNotRun, reason)
-	q.comeBack = comeBack
-	q.w.Header().Set("Retry-After", strconv.FormatFloat(comeBack.Seconds(), 'f', 2, 64))
+func (g *Gateway) refuse(q *query, retryAfter time.Duration, reason string) {
+	q.setOutcome(http.StatusServiceUnavailable, outcomeNotRun, reason)
+	q.retryAfter = retryAfter
+	q.w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 2, 64))
 	g.answer(q, http.StatusServiceUnavailable, reason)
 }
 
 // fail answers a request that was given up and may have run.
 func (g *Gateway) fail(q *query, status int, reason string) {
-	q.set(status, outcomeFailed, reason)
+	q.setOutcome(status, outcomeFailed, reason)
 	g.answer(q, status, reason)
 }
 
@@ -208,12 +208,12 @@
 func (g *Gateway) giveUp(q *query, reason string) {
 	switch {
 	case q.callerLeft():
-		q.set(0, outcomeLeft, reason)
-	case !q.mayHaveRun && g.quarantine.Left(q.print, time.Now()) > 0:
-		g.refuse(q, g.quarantine.Left(q.print, time.Now()), reason)
+		q.setOutcome(0, outcomeLeft, reason)
+	case !q.mayHaveRun && g.quarantine.Left(q.fingerprint, time.Now()) > 0:
+		g.refuse(q, g.quarantine.Left(q.fingerprint, time.Now()), reason)
 	case !q.mayHaveRun:
-		g.refuse(q, g.comeBack(q, time.Now()), reason)
-	case q.left(time.Now()) <= 0:
+		g.refuse(q, g.retryAfter(q, time.Now()), reason)
+	case q.timeLeft(time.Now()) <= 0:
 		g.fail(q, http.StatusGatewayTimeout, reason)
 	default:
 		g.fail(q, http.StatusBadGateway, reason)
@@ -221,12 +221,12 @@
 }
 
 // retryAfter returns the Retry-After delay of a request that is refused at now for lack of room.
-func (g *Gateway) comeBack(q *query, now time.Time) time.Duration {
-	wait := comeBackSoon
-	if q.service.Model != nil || q.nextTaker() != nil { // callers that retried at the same time would be refused at the same time
-		wait, q.admitted = g.line.ComeBack(q.waiting(), now)
+func (g *Gateway) retryAfter(q *query, now time.Time) time.Duration {
+	wait := retryAfterOverload
+	if q.service.Model != nil || q.nextAvailable() != nil { // callers that retried at the same time would be refused at the same time
+		wait, q.admitted = g.queue.ComeBack(q.waiting(), now)
 	}
-	return max(wait, q.takenFrom(now).Sub(now))
+	return max(wait, q.availableFrom(now).Sub(now))
 }
 
 // answer writes an answer of the gateway itself.
@@ -239,7 +239,7 @@
 }
 
 // logEnd logs and counts a request that has ended.
-func (g *Gateway) ended(q *query) {
+func (g *Gateway) logEnd(q *query) {
 	now := time.Now()
 	kind, route := "", ""
 	if q.route != nil {
@@ -257,8 +257,8 @@
 		Int("status", q.status).Str("reason", q.reason).Strs("used", q.used).Int("sends", q.sends).Int("runs", len(q.ran)).
 		Dur("first_ms", first).Dur("total_ms", now.Sub(q.start)).
 		Uint64("version", q.version).Dur("proof_age_ms", q.proofAge)
-	if q.print != 0 {
-		line = line.Stringer("print", q.print)
+	if q.fingerprint != 0 {
+		line = line.Stringer("print", q.fingerprint)
 	}
 	if q.last != nil { // the record by which this gateway chose the endpoint
 		line = line.Str("endpoint", q.last.ID).Uint64("record_revision", q.last.Revision).
@@ -270,17 +270,17 @@
 	if q.service != nil && q.service.Model != nil {
 		line = line.Dur("waited_ms", q.waited).Int("ahead", q.ahead).Bool("returned", q.returned)
 	}
-	if q.comeBack > 0 {
-		line = line.Dur("come_back_ms", q.comeBack).Float64("admitted_per_s", q.admitted)
+	if q.retryAfter > 0 {
+		line = line.Dur("come_back_ms", q.retryAfter).Float64("admitted_per_s", q.admitted)
 	}
 	if held := q.heldBy(); len(held) > 0 {
 		line = line.Strs("held", held)
 	}
 	if q.events > 0 {
-		line = line.Int("events", q.events).Dur("pause_ms", q.pause).Int("carried", q.carried)
+		line = line.Int("events", q.events).Dur("pause_ms", q.pause).Int("carried", q.resumed)
 	}
-	if q.seen.need > 0 {
-		line = line.Int("need", q.seen.need).Int("open", q.seen.open).Int("avoided", q.seen.avoided).Int("crowded", q.seen.crowded)
+	if q.lastSearch.need > 0 {
+		line = line.Int("need", q.lastSearch.need).Int("open", q.lastSearch.open).Int("avoided", q.lastSearch.avoided).Int("crowded", q.lastSearch.crowded)
 	}
 	line.Msg("request ended")
 }
--- a/role/gateway/intake.go
+++ b/role/gateway/intake.go
@@ -10,7 +10,7 @@
 
 // initThrottling sets up the handling of the limits and backoff periods that endpoints ask for.
 func (g *Gateway) initThrottling() {
-	g.throttling = throttling.Throttling{Name: g.Name, Peers: &g.peers, Every: g.gossip.Every, Left: g.hearLeaving, Log: g.Log}
+	g.throttling = throttling.Throttling{Name: g.Name, Peers: &g.peers, Every: g.gossip.Every, Left: g.handleLeaving, Log: g.Log}
 }
 
 // maxLoggedHeld bounds the endpoints that the log entry of a request names as not accepting it.
@@ -28,7 +28,7 @@
 		if from, known := t.From(now); known && (q.next == nil || from.Before(first)) {
 			q.next, first = b, from
 		}
-		if q.looked || len(q.held) >= maxLoggedHeld {
+		if q.searched || len(q.held) >= maxLoggedHeld {
 			continue
 		}
 		hold := t.Held(now)
@@ -36,14 +36,14 @@
 			b.ID, hold, t.Limit().Rate, t.Share(), t.Demand(now)))
 		g.Meter.Held(string(hold))
 	}
-	q.looked = true
+	q.searched = true
 }
 
 // awaitIntake waits until an endpoint of a plain service accepts requests again, instead of
 // refusing the request. It returns false at once when the endpoint would, after the requests
 // already waiting, accept it too late for an answer in time.
 func (g *Gateway) awaitIntake(q *query) bool {
-	b := q.nextTaker()
+	b := q.nextAvailable()
 	if b == nil || q.r.Context().Err() != nil {
 		return false
 	}
--- a/role/gateway/isolation.go
+++ b/role/gateway/isolation.go
@@ -23,7 +23,7 @@
 // suspected reports whether endpoints have ended under a request so often that it is tried isolated
 // from all other such requests.
 func (g *Gateway) suspected(q *query) bool {
-	return g.quarantine.Suspected(q.print, time.Now())
+	return g.quarantine.Suspected(q.fingerprint, time.Now())
 }
 
 // isolationPlan returns at which endpoints of a service suspects are tried at now.
@@ -50,27 +50,27 @@
 // awaitIsolation waits until a request may be sent on, within its deadline; a request that is no
 // suspect need not wait. It returns the reason why the request may not be sent.
 func (g *Gateway) awaitIsolation(q *query) shortage {
-	until := time.Now().Add(min(isolationTimeout, q.left(time.Now())))
+	until := time.Now().Add(min(isolationTimeout, q.timeLeft(time.Now())))
 	for {
 		q.isolateAt("")
 		if !g.maySend(q) {
 			return shortageQuarantine
 		}
 		now := time.Now()
-		if !g.quarantine.Suspected(q.print, now) {
+		if !g.quarantine.Suspected(q.fingerprint, now) {
 			return shortageNone
 		}
-		g.quarantine.Arrived(q.print, now)
-		if endpoint, free := g.isolationPlan(q.service.Name, now).Of(q.print); q.apart && free {
+		g.quarantine.Arrived(q.fingerprint, now)
+		if endpoint, free := g.isolationPlan(q.service.Name, now).Of(q.fingerprint); q.isolationWaited && free {
 			q.isolateAt(endpoint)
-			g.Log.Info().Str("request", q.ID).Stringer("print", q.print).Str("endpoint", endpoint).
+			g.Log.Info().Str("request", q.ID).Stringer("print", q.fingerprint).Str("endpoint", endpoint).
 				Msg("request is tried apart from others under which endpoints have ended")
 			return shortageNone
 		}
 		if now.After(until) || q.r.Context().Err() != nil {
 			return shortageQuarantine
 		}
-		q.apart = true
+		q.isolationWaited = true
 		pause.For(q.r.Context(), isolationWait)
 	}
 }
--- a/role/gateway/leader.go
+++ b/role/gateway/leader.go
@@ -27,8 +27,8 @@
 	// takeoverStagger is how long a gateway waits for each gateway that ranks before it to take the
 	// right, for maxTakeoverRank gateways at most: taking it is two calls of the store, and a
 	// digest announces a new holder at once.
-	leaderTurnWait = 150 * time.Millisecond
-	leaderTurns    = 8
+	takeoverStagger = 150 * time.Millisecond
+	maxTakeoverRank = 8
 	// leaderSettle is how long the store must have been read before a gateway takes the right: when
 	// a fleet starts, the other gateways become known only with the next changes.
 	leaderSettle = changesSettle + 150*time.Millisecond
@@ -38,7 +38,7 @@
 	renewEvery = 500 * time.Millisecond
 	// stableTime is how long the size of the fleet must stay the same before the first plan: all
 	// endpoints of a new system announce themselves within a second or two.
-	gatherTime = 1200 * time.Millisecond
+	stableTime = 1200 * time.Millisecond
 	// ordersAtOnce bounds the orders that are given concurrently: a fleet of thousands is to hold
 	// its layers before callers arrive.
 	ordersAtOnce = 32
@@ -57,7 +57,7 @@
 
 // pendingOrder is an order that an endpoint carries out. All gateways know of it, so that the next
 // leader continues from there.
-type ordered struct {
+type pendingOrder struct {
 	layers layer.Range
 	// until is when the order counts as lost.
 	until time.Time
@@ -69,7 +69,7 @@
 	for ctx.Err() == nil {
 		pause.For(ctx, time.Duration(float64(leaderRound)*(1+rand.Float64())))
 		now := time.Now()
-		if !g.loaded.Load() || g.draining.Load() || g.catalog.Load() == nil || g.led.Load() {
+		if !g.loaded.Load() || g.draining.Load() || g.catalog.Load() == nil || g.hasLeaderKey.Load() {
 			vacant = time.Time{}
 			continue
 		}
@@ -77,11 +77,11 @@
 			vacant = now
 		}
 		read := time.Duration(now.UnixNano() - g.currentSince.Load())
-		if now.Sub(vacant) < g.leaderTurn(now) || read < leaderSettle {
+		if now.Sub(vacant) < g.takeoverDelay(now) || read < leaderSettle {
 			continue
 		}
 		holder := leader{g: g}
-		if err := holder.take(ctx); err != nil {
+		if err := holder.acquire(ctx); err != nil {
 			var held *kv.ConflictError
 			if !errors.As(err, &held) {
 				g.Log.Warn().Err(err).Msg("the right to give orders could not be taken")
@@ -97,16 +97,16 @@
 // takeoverDelay returns how long this gateway waits for others to take the right after the store
 // has said that nobody holds it. It waits longer while another gateway reports that it holds the
 // right.
-func (g *Gateway) leaderTurn(now time.Time) time.Duration {
-	turn := min(g.gossip.Overlay().Turn(leaderKey), leaderTurns)
-	if g.directed(now) {
-		turn = leaderTurns
+func (g *Gateway) takeoverDelay(now time.Time) time.Duration {
+	rank := min(g.gossip.Overlay().Turn(leaderKey), maxTakeoverRank)
+	if g.leaderHeard(now) {
+		rank = maxTakeoverRank
 	}
-	return time.Duration(turn) * leaderTurnWait
+	return time.Duration(rank) * takeoverStagger
 }
 
 // acquire takes the right to give orders.
-func (o *leader) take(ctx context.Context) error {
+func (o *leader) acquire(ctx context.Context) error {
 	lease, err := o.g.Store.Grant(ctx, leaderLease)
 	if err != nil {
 		return err
@@ -155,7 +155,7 @@
 			if now.UnixNano()-o.g.currentSince.Load() < int64(lapseGrace) {
 				continue // records that lapsed during the outage are written again
 			}
-		} else if now.Sub(o.changed) < gatherTime {
+		} else if now.Sub(o.changed) < stableTime {
 			continue
 		}
 		moves := (spread.Planner{}).Plan(service.Model, cards)
@@ -181,12 +181,12 @@
 		o.g.gossip.News() // if this process ends now, another leader continues
 	}
 	var group sync.WaitGroup
-	turns := make(chan struct{}, ordersAtOnce)
+	slots := make(chan struct{}, ordersAtOnce)
 	results := make([]orderResult, len(moves))
 	for i, m := range moves {
-		turns <- struct{}{}
+		slots <- struct{}{}
 		group.Go(func() {
-			defer func() { <-turns }()
+			defer func() { <-slots }()
 			results[i] = o.order(ctx, f.byID[m.ID], m.Layers)
 		})
 	}
@@ -205,9 +205,9 @@
 			ID: b.ID, Hall: b.Hall, Kind: b.Card, Holds: b.Layers,
 			InUse: b.use.active.Load()+b.use.othersActive.Load() > 0,
 		}
-		if order := b.use.ordered.Load(); order != nil {
+		if order := b.use.pendingOrder.Load(); order != nil {
 			if b.Layers == order.layers || now.After(order.until) {
-				b.use.ordered.CompareAndSwap(order, nil)
+				b.use.pendingOrder.CompareAndSwap(order, nil)
 			} else {
 				c.Holds, c.Settled = order.layers, true
 			}
--- a/role/gateway/members.go
+++ b/role/gateway/members.go
@@ -29,7 +29,7 @@
 
 // removeUsage removes the usage of an endpoint and the connections to it, and returns it as a
 // backend; nil when it was not used.
-func (g *Gateway) takeUsage(r roster.Record) *backend {
+func (g *Gateway) removeUsage(r roster.Record) *backend {
 	g.pool.Drop(r.Address)
 	g.probes.Forget(r.Address)
 	g.members.mu.Lock()
@@ -44,7 +44,7 @@
 
 // dropped removes an endpoint whose record is gone.
 func (g *Gateway) dropped(r roster.Record) {
-	if b := g.takeUsage(r); b != nil && b.use.down() { // silent, and its record has lapsed
+	if b := g.removeUsage(r); b != nil && b.use.down() { // silent, and its record has lapsed
 		g.endedAfterSilence(b, time.Now())
 	}
 }
@@ -53,13 +53,13 @@
 // requests that ran there are lost, and nothing known or ordered carries over to the new
 // incarnation.
 func (g *Gateway) restarted(former roster.Record) {
-	if b := g.takeUsage(former); b != nil {
-		g.lifeEnded(b, time.Now())
+	if b := g.removeUsage(former); b != nil {
+		g.incarnationEnded(b, time.Now())
 	}
 }
 
 // handleLeaving records that an endpoint has announced that it leaves.
-func (g *Gateway) hearLeaving(endpoint string) {
+func (g *Gateway) handleLeaving(endpoint string) {
 	if b := g.fleet.Load().byID[endpoint]; b != nil {
 		g.membership.Leaves(b.Endpoint)
 		g.rebuild()
--- a/role/gateway/order.go
+++ b/role/gateway/order.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		result = resultOf(err)
 	}
-	b.use.ordered.Store(afterOrder(result, layers, report, b, time.Now()))
+	b.use.pendingOrder.Store(afterOrder(result, layers, report, b, time.Now()))
 	o.g.Meter.Order(string(result))
 	o.g.Log.Info().Str("endpoint", b.ID).Str("address", b.Address).Stringer("layers", layers).
 		Stringer("held", b.Layers).Stringer("reported", report.Layers).Uint64("fence", o.fence).
@@ -86,16 +86,16 @@
 
 // afterOrder returns the order that an endpoint is assumed to carry out after an order for layers
 // had a result; nil when its record is authoritative.
-func afterOrder(result orderResult, layers layer.Range, report runner.Report, b *backend, now time.Time) *ordered {
+func afterOrder(result orderResult, layers layer.Range, report runner.Report, b *backend, now time.Time) *pendingOrder {
 	switch result {
 	case orderTaken:
-		return &ordered{layers: layers, until: now.Add(orderWait)}
+		return &pendingOrder{layers: layers, until: now.Add(orderWait)}
 	case orderUnanswered:
-		return &ordered{layers: layers, until: now.Add(unansweredWait)}
+		return &pendingOrder{layers: layers, until: now.Add(unansweredWait)}
 	case orderStale:
-		return &ordered{layers: report.Layers, until: now.Add(recordLag)}
+		return &pendingOrder{layers: report.Layers, until: now.Add(recordLag)}
 	case orderBusy: // the other order is not known; until then the endpoint keeps its layers
-		return &ordered{layers: b.Layers, until: now.Add(leaderRound)}
+		return &pendingOrder{layers: b.Layers, until: now.Add(leaderRound)}
 	}
 	return nil
 }
--- a/role/gateway/partition.go
+++ b/role/gateway/partition.go
@@ -4,7 +4,7 @@
 
 // idleTimeoutPartitioned is how long a caller's connection may be idle at a gateway that alone has
 // lost the store.
-const restPartitioned = 100 * time.Millisecond
+const idleTimeoutPartitioned = 100 * time.Millisecond
 
 // initPartition sets up the detector that distinguishes a loss of the store by this gateway alone
 // from an outage of the store.
@@ -29,9 +29,9 @@
 
 // retryAfterOutage returns the Retry-After delay of a request that this gateway cannot serve
 // without the store.
-func (g *Gateway) elsewhere(now time.Time) time.Duration {
+func (g *Gateway) retryAfterOutage(now time.Time) time.Duration {
 	if wait, ok := g.partition.Elsewhere(now); ok {
 		return wait
 	}
-	return comeBackLater
+	return retryAfterStore
 }
--- a/role/gateway/plain.go
+++ b/role/gateway/plain.go
@@ -15,7 +15,7 @@
 const (
 	// defaultAnswerWait is how long a repeatable request waits for an endpoint before it goes to
 	// another where the route has no objective; otherwise it waits for the objective.
-	silenceDefault = 400 * time.Millisecond
+	defaultAnswerWait = 400 * time.Millisecond
 	// maxSends bounds the endpoints to which one request is sent.
 	maxSends = 4
 	// loadFresh is how long the load that an endpoint reported counts.
@@ -24,7 +24,7 @@
 	failingWeight = 8
 	// otherHallWeight is the extra load, in requests, attributed to an endpoint in another data
 	// hall.
-	farWeight = 0.3
+	otherHallWeight = 0.3
 )
 
 // servePlain serves a request of a plain service.
@@ -49,12 +49,12 @@
 		if b.use.intake.Take(time.Now()) != throttle.Free {
 			continue // another request has taken the room meanwhile
 		}
-		if q.arrived.Load() && !g.allowRetry(q, q.cause) {
+		if q.everReached.Load() && !g.allowRetry(q, q.cause) {
 			reason = "the retry budget is used up: " + reason
 			break
 		}
-		q.note(b.Address)
-		done, why := g.tryPlain(q, b)
+		q.noteUsed(b.Address)
+		done, why := g.attemptPlain(q, b)
 		if done {
 			return
 		}
@@ -63,7 +63,7 @@
 		if q.mayHaveRun && (!q.route.Repeats() || q.runs() >= q.route.Attempts) {
 			break
 		}
-		if q.left(time.Now()) <= 0 {
+		if q.timeLeft(time.Now()) <= 0 {
 			break
 		}
 	}
@@ -108,7 +108,7 @@
 func (g *Gateway) pick(q *query) *backend {
 	now := time.Now()
 	c := g.candidates(q, now)
-	if wanted := g.leastLoaded(slices.Concat(c.free, c.limited), now); wanted != nil && !q.hasLooked() {
+	if wanted := g.leastLoaded(slices.Concat(c.free, c.limited), now); wanted != nil && !q.hasSearched() {
 		wanted.use.intake.Want(now)
 	}
 	g.noteHeld(q, slices.Concat(c.limited, c.resting), now)
@@ -133,18 +133,18 @@
 // load returns the load score of a backend of a plain service.
 func (g *Gateway) load(b *backend, now time.Time) float64 {
 	score := float64(b.use.active.Load() + b.use.othersActive.Load())
-	if now.UnixNano()-b.use.said.Load() < int64(loadFresh) {
+	if now.UnixNano()-b.use.loadReportedAt.Load() < int64(loadFresh) {
 		score += float64(b.use.waiting.Load())
 	}
 	if b.Hall != g.Hall {
-		score += farWeight
+		score += otherHallWeight
 	}
 	return (score + 1) * (1 + failingWeight*b.use.health.Load().Failing)
 }
 
 // attemptPlain sends the request to a backend. It reports whether the request has ended, or else
 // why not.
-func (g *Gateway) tryPlain(q *query, b *backend) (bool, string) {
+func (g *Gateway) attemptPlain(q *query, b *backend) (bool, string) {
 	b.use.take(0)
 	defer b.use.release(0)
 	until := q.deadline
@@ -152,7 +152,7 @@
 	if !last {
 		wait := q.route.Objective
 		if wait <= 0 {
-			wait = silenceDefault
+			wait = defaultAnswerWait
 		}
 		if soon := time.Now().Add(wait); soon.Before(until) {
 			until = soon
@@ -181,32 +181,32 @@
 	q.ran = append(q.ran, b)
 	body, err := t.answer.ReadAll()
 	if err != nil {
-		b.use.judge(health.Record.WithFailure)
+		b.use.updateHealth(health.Record.WithFailure)
 		q.cause = causeBroken
 		g.endedUnder(q, b)
 		return false, "the answer broke off: " + err.Error()
 	}
-	g.quarantine.Survived(q.print, time.Now())
+	g.quarantine.Survived(q.fingerprint, time.Now())
 	if t.answer.Status >= http.StatusInternalServerError {
-		b.use.judge(health.Record.WithFailure)
-		if !last && g.left(q) && g.pickOther(q, b) {
+		b.use.updateHealth(health.Record.WithFailure)
+		if !last && g.hasTime(q) && g.hasOther(q, b) {
 			q.cause = causeFailed
 			return false, "the endpoint answered " + strconv.Itoa(t.answer.Status)
 		}
 	} else {
-		b.use.judge(health.Record.WithSuccess)
+		b.use.updateHealth(health.Record.WithSuccess)
 	}
 	g.deliver(q, t, body)
 	return true, ""
 }
 
 // hasTime reports whether there is time for another attempt.
-func (g *Gateway) left(q *query) bool {
-	return q.left(time.Now()) > 0 && !q.callerLeft()
+func (g *Gateway) hasTime(q *query) bool {
+	return q.timeLeft(time.Now()) > 0 && !q.callerLeft()
 }
 
 // hasOther reports whether there is a backend other than b.
-func (g *Gateway) pickOther(q *query, b *backend) bool {
+func (g *Gateway) hasOther(q *query, b *backend) bool {
 	q.avoid(b.Address)
 	return g.pick(q) != nil
 }
@@ -220,19 +220,19 @@
 }
 
 // notRunStatuses are the statuses that tell a caller that the request has not run.
-var promises = map[int]bool{
+var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
 
 // deliver passes a whole answer on.
 func (g *Gateway) deliver(q *query, t attempt, body []byte) {
-	if promises[t.answer.Status] { // the endpoint ran it, but its status would say otherwise
+	if notRunStatuses[t.answer.Status] { // the endpoint ran it, but its status would say otherwise
 		g.fail(q, http.StatusBadGateway, "the endpoint ran the request and answered "+strconv.Itoa(t.answer.Status))
 		return
 	}
 	q.first = time.Now()
-	q.set(t.answer.Status, outcomeServed, "")
+	q.setOutcome(t.answer.Status, outcomeServed, "")
 	if t.answer.Status >= http.StatusBadRequest {
 		q.outcome = outcomeFailed
 		q.reason = "the endpoint's own answer"
@@ -243,6 +243,6 @@
 	}
 	q.w.WriteHeader(t.answer.Status)
 	if _, err := q.w.Write(body); err != nil {
-		q.set(t.answer.Status, outcomeLeft, err.Error())
+		q.setOutcome(t.answer.Status, outcomeLeft, err.Error())
 	}
 }
--- a/role/gateway/quarantine.go
+++ b/role/gateway/quarantine.go
@@ -19,7 +19,7 @@
 }
 
 // incarnation returns the incarnation that the record of the endpoint names.
-func (b *backend) life() suspects.Life {
+func (b *backend) incarnation() suspects.Life {
 	return suspects.Life{Endpoint: b.ID, Born: b.Born}
 }
 
@@ -27,18 +27,18 @@
 // silence alone may be a network partition between it and this gateway.
 func (g *Gateway) endedAfterSilence(b *backend, now time.Time) {
 	if begun := b.use.begun.Swap(nil); begun != nil {
-		g.quarantine.Report(b.life(), *begun, now)
+		g.quarantine.Report(b.incarnation(), *begun, now)
 	}
 }
 
 // incarnationEnded records at now that the incarnation of an endpoint has certainly ended: its
 // requests are lost, and those that it had just started become suspects.
-func (g *Gateway) lifeEnded(b *backend, now time.Time) {
+func (g *Gateway) incarnationEnded(b *backend, now time.Time) {
 	g.endedAfterSilence(b, now)
 	begun := b.use.watchers.begun(b.ID, now) // before the watchdogs that wait for a check unregister
 	b.use.markDown(now, true)
 	b.use.watchers.checkSoon()
-	g.quarantine.Report(b.life(), begun, now)
+	g.quarantine.Report(b.incarnation(), begun, now)
 	g.quarantine.Review(now)
 }
 
@@ -50,7 +50,7 @@
 	}
 	g.verify(q.r.Context(), b)
 	if b.use.ended.Load() {
-		g.quarantine.Report(b.life(), []suspects.Begun{{Print: q.print, Tried: q.isolatedAt() == b.ID}}, time.Now())
+		g.quarantine.Report(b.incarnation(), []suspects.Begun{{Print: q.fingerprint, Tried: q.isolatedAt() == b.ID}}, time.Now())
 	}
 }
 
@@ -58,10 +58,10 @@
 // incarnation, or the endpoint does not answer. Otherwise the endpoint is checked.
 func (g *Gateway) over(l suspects.Life) bool {
 	b := g.fleet.Load().byID[l.Endpoint]
-	if b == nil || b.Born != 0 && l.Born != 0 && b.Born != l.Born || b.use.dead(time.Now()) || b.use.ended.Load() {
+	if b == nil || b.Born != 0 && l.Born != 0 && b.Born != l.Born || b.use.presumedDead(time.Now()) || b.use.ended.Load() {
 		return true
 	}
-	g.suspect(b)
+	g.checkAsync(b)
 	return false
 }
 
@@ -70,7 +70,7 @@
 func (g *Gateway) withheld(q *query) shortage {
 	switch {
 	case ingress.Left(q.r.Context()):
-		q.gone = true
+		q.callerGone = true
 		return shortageCaller
 	case !g.maySend(q):
 		return shortageQuarantine
@@ -80,5 +80,5 @@
 
 // maySend reports whether a request may be sent to an endpoint: it is not in quarantine.
 func (g *Gateway) maySend(q *query) bool {
-	return g.quarantine.Left(q.print, time.Now()) == 0
+	return g.quarantine.Left(q.fingerprint, time.Now()) == 0
 }
--- a/role/gateway/query.go
+++ b/role/gateway/query.go
@@ -27,7 +27,7 @@
 	body     []byte
 	hasBody  bool
 	// fingerprint identifies the request when it is sent again under another ID.
-	print fingerprint.Fingerprint
+	fingerprint fingerprint.Fingerprint
 	// version is the version of the configuration that admitted the request.
 	version uint64
 	// proofAge was the age of the freshness proof of that configuration.
@@ -47,28 +47,28 @@
 	mayHaveRun bool
 	// everReached is set once any send may have reached an endpoint: only later sends count as
 	// retries.
-	arrived atomic.Bool
+	everReached atomic.Bool
 	// callerGone is set once the caller is known to have closed the connection.
-	gone bool
+	callerGone bool
 	// reached is set once the endpoint of the current send may have received the request.
 	reached atomic.Bool
 
 	// isolationWaited is set once the request has waited for all gateways to know of the suspects.
-	apart bool
+	isolationWaited bool
 
 	// returned is set when the caller has less time left than callers usually have on their first
 	// attempt.
 	returned bool
 	// lastSearch describes the last search that found no chain.
-	seen candidateCounts
+	lastSearch candidateCounts
 	// waited is how long the request waited in the queue for its first reservation, ahead the
 	// number of requests that were queued when it arrived.
 	waited time.Duration
 	ahead  int
 	// retryAfter is the Retry-After delay sent to the caller, 0 for none, and admitted the rate of
 	// admission, in requests per second, from which it was computed.
-	comeBack time.Duration
-	admitted float64
+	retryAfter time.Duration
+	admitted   float64
 	// cause is the cause of the next send, one of the cause constants.
 	cause string
 	// status, outcome and reason describe how the request ended, for the log.
@@ -80,44 +80,44 @@
 	// the number of times that the stream was resumed on another chain.
 	events  int
 	pause   time.Duration
-	carried int
+	resumed int
 
 	mu sync.Mutex // guards the fields below
 	// avoided holds the addresses that are not to be tried again.
-	tried map[string]bool
+	avoided map[string]bool
 	// used names the endpoints, for the log.
 	used []string
 	// searched is set once the request has searched for an endpoint. held names the endpoints at
 	// which it would have started but that did not accept it, for the log. next is the one of them,
 	// at the last search, that may accept it first; nil when none is known to.
-	looked bool
-	held   []string
-	next   *backend
+	searched bool
+	held     []string
+	next     *backend
 	// isolation is the endpoint at which a suspect is tried, isolated from other suspects; empty
 	// for a request that is no suspect.
 	isolation string
 	// fleetFactor is the number of requests of all gateways that are sent again for each one of
 	// this gateway, since all lost the same endpoint; 0 for a single request.
-	together float64
+	fleetFactor float64
 }
 
 // setFleetFactor sets the number of requests that are sent again for each one of this gateway.
-func (q *query) setTogether(n float64) {
+func (q *query) setFleetFactor(n float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.together = n
+	q.fleetFactor = n
 }
 
 // hasSearched reports whether the request has searched for an endpoint before.
-func (q *query) hasLooked() bool {
+func (q *query) hasSearched() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.looked
+	return q.searched
 }
 
 // nextAvailable returns the endpoint that may accept the request first among those that did not
 // accept it at the last search, nil when none is known to.
-func (q *query) nextTaker() *backend {
+func (q *query) nextAvailable() *backend {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.next
@@ -125,8 +125,8 @@
 
 // availableFrom returns when that endpoint may accept the request, as known at now; now when there
 // is no such endpoint.
-func (q *query) takenFrom(now time.Time) time.Time {
-	next := q.nextTaker()
+func (q *query) availableFrom(now time.Time) time.Time {
+	next := q.nextAvailable()
 	if next == nil {
 		return now
 	}
@@ -145,10 +145,10 @@
 
 // requestFactor returns the number of requests of all gateways that do the same as this one, for
 // each one of this gateway, at least 1.
-func (q *query) companions() float64 {
+func (q *query) requestFactor() float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return max(q.together, 1)
+	return max(q.fleetFactor, 1)
 }
 
 // isolateAt sets the endpoint at which the request is tried isolated, empty for any endpoint.
@@ -169,21 +169,21 @@
 func (q *query) avoid(address string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.tried == nil {
-		q.tried = make(map[string]bool)
+	if q.avoided == nil {
+		q.avoided = make(map[string]bool)
 	}
-	q.tried[address] = true
+	q.avoided[address] = true
 }
 
 // avoids reports whether an address is not to be tried again.
 func (q *query) avoids(address string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.tried[address]
+	return q.avoided[address]
 }
 
 // noteUsed adds to the endpoints that the log names.
-func (q *query) note(used string) {
+func (q *query) noteUsed(used string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.used = append(q.used, used)
@@ -204,15 +204,15 @@
 
 // callerLeft reports whether the caller is known to have closed the connection.
 func (q *query) callerLeft() bool {
-	return q.gone || errors.Is(q.r.Context().Err(), context.Canceled)
+	return q.callerGone || errors.Is(q.r.Context().Err(), context.Canceled)
 }
 
 // timeLeft returns the time until the deadline of the request.
-func (q *query) left(now time.Time) time.Duration {
+func (q *query) timeLeft(now time.Time) time.Duration {
 	return q.deadline.Sub(now)
 }
 
 // setOutcome records how the request ended.
-func (q *query) set(status int, outcome, reason string) {
+func (q *query) setOutcome(status int, outcome, reason string) {
 	q.status, q.outcome, q.reason = status, outcome, reason
 }
--- a/role/gateway/seat.go
+++ b/role/gateway/seat.go
@@ -15,8 +15,8 @@
 const (
 	// hopCostInHall is the cost of passing a token on within a hall, hopCostAcrossHalls to another
 	// hall; the latter is high because all halls share one link.
-	hopCostInHall = 0.0003
-	hopCostAcrossHalls  = 0.006
+	hopCostInHall      = 0.0003
+	hopCostAcrossHalls = 0.006
 	// remoteEntryCost is the cost of entering a chain in a hall other than the gateway's. It keeps
 	// gateways of different halls from choosing the same chains: under high load the mean worth of
 	// a request was 0.72 at 0.002 and 0.74 at 0.004.
@@ -30,23 +30,23 @@
 
 // reservation is the room that a request holds along a chain.
 type reservation struct {
-	chain  chain.Chain
-	first  *backend
-	parts  []*backend
-	memory []int64
+	chain    chain.Chain
+	first    *backend
+	backends []*backend
+	memory   []int64
 	// readingPrompt is set while the endpoints read the prompt.
 	readingPrompt bool
 	// released is set once the room has been given back.
 	released bool
 }
 
-// promptRead notes that the endpoints have read the prompt.
-func (s *reservation) promptRead() {
+// notePromptRead notes that the endpoints have read the prompt.
+func (s *reservation) notePromptRead() {
 	if !s.readingPrompt {
 		return
 	}
 	s.readingPrompt = false
-	for _, b := range s.parts {
+	for _, b := range s.backends {
 		b.use.reading.Add(-1)
 	}
 }
@@ -57,9 +57,9 @@
 		return
 	}
 	s.released = true
-	s.promptRead()
+	s.notePromptRead()
 	s.first.use.entered.Add(-1)
-	for i, b := range s.parts {
+	for i, b := range s.backends {
 		b.use.release(s.memory[i])
 	}
 }
@@ -67,13 +67,13 @@
 // addWatchdog and removeWatchdog set which watchdog is notified when an endpoint of the chain is
 // lost.
 func (s *reservation) addWatchdog(w *watchdog) {
-	for _, b := range s.parts {
+	for _, b := range s.backends {
 		b.use.watchers.Add(w)
 	}
 }
 
 func (s *reservation) removeWatchdog(w *watchdog) {
-	for _, b := range s.parts {
+	for _, b := range s.backends {
 		b.use.watchers.Remove(w)
 	}
 }
@@ -127,7 +127,7 @@
 	if short != shortageNone {
 		return nil, short
 	}
-	if q.arrived.Load() && !g.allowRetry(q, cause) {
+	if q.everReached.Load() && !g.allowRetry(q, cause) {
 		taken.release()
 		return nil, shortageBudget
 	}
@@ -141,7 +141,7 @@
 	defer choosers.Put(c)
 	need := q.tokens()
 	c.prepare(q.service.Model, f, g.Hall, g.peerFlow(q.service.Name))
-	c.fleetFactor = q.companions()
+	c.fleetFactor = q.requestFactor()
 	c.isolated = g.isolationPlan(q.service.Name, time.Now())
 	found, ok := g.findAdmitted(c, q, f, need, skipAvoidedAndFull)
 	if !ok && q.isolatedAt() == "" && !c.isolated.Empty() { // an endpoint at which a suspect is tried is better than none
@@ -149,7 +149,7 @@
 		found, ok = g.findAdmitted(c, q, f, need, skipAvoidedAndFull)
 	}
 	if !ok {
-		q.seen = candidateCounts{need: need, open: c.open, avoided: c.avoided, crowded: c.crowded}
+		q.lastSearch = candidateCounts{need: need, open: c.open, avoided: c.avoided, crowded: c.crowded}
 		short := c.shortage()
 		c.collect(q, f, need, skipAvoided)
 		if _, exists := c.finder.Find(c.holders); exists {
@@ -166,7 +166,7 @@
 
 // peerFlow returns how the other gateways use the endpoints of a service.
 func (g *Gateway) peerFlow(service string) unseen.Flow {
-	return unseen.Flow{Told: g.gossip.Every(), Lasts: g.line.Times.Lasts(service)}
+	return unseen.Flow{Told: g.gossip.Every(), Lasts: g.queue.Times.Lasts(service)}
 }
 
 // maxHeldPicks is the number of endpoints at their announced limit that a search may pick, so that
@@ -178,7 +178,7 @@
 func (g *Gateway) findAdmitted(c *chooser, q *query, f *fleet, need int, filter candidateFilter) (chain.Chain, bool) {
 	now := time.Now()
 	defer func() { g.noteHeld(q, c.held, now) }()
-	again := q.hasLooked()
+	again := q.hasSearched()
 	c.skipLimited = again
 	for range maxHeldPicks {
 		c.collect(q, f, need, filter)
@@ -207,7 +207,7 @@
 	}
 	c.hops(hopCostAcrossHalls)
 	found, ok := c.finder.Find(c.holders)
-	return found, ok && g.lines.Allow(q.service.Model, need, g.peers.Size())
+	return found, ok && g.hallLinks.Allow(q.service.Model, need, g.peers.Size())
 }
 
 // reserveMove reserves room along the cheapest chain to which a running request can be moved. The
@@ -218,7 +218,7 @@
 	defer choosers.Put(c)
 	need := q.tokens()
 	c.prepare(q.service.Model, f, g.Hall, g.peerFlow(q.service.Name))
-	c.fleetFactor = lost.use.together()
+	c.fleetFactor = lost.use.fleetFactor()
 	c.isolated = isolation.Plan{} // the first endpoint of the chain stays
 	c.collect(q, f, need, skipAvoidedAndFull)
 	c.keepChain(old, q, time.Now())
@@ -239,8 +239,8 @@
 // one of this gateway.
 func (s *reservation) promptReadTime(q *query, old *reservation, fleetFactor float64) time.Duration {
 	m := q.service.Model
-	parts := make([]reread.Part, 0, len(s.parts))
-	for i, b := range s.parts {
+	parts := make([]reread.Part, 0, len(s.backends))
+	for i, b := range s.backends {
 		if old != nil && old.chain.Uses(b.Address) {
 			continue
 		}
@@ -256,7 +256,7 @@
 // backend returns the backend of the reservation that a part of a chain names, nil for none.
 // Another incarnation with the same ID has another address.
 func (s *reservation) backend(p chain.Part) *backend {
-	for _, b := range s.parts {
+	for _, b := range s.backends {
 		if b.ID == p.ID && b.Address == p.Address {
 			return b
 		}
@@ -272,9 +272,9 @@
 		memory := int64(need * p.Layers.Len())
 		b.use.take(memory)
 		b.use.reading.Add(1)
-		s.parts, s.memory = append(s.parts, b), append(s.memory, memory)
+		s.backends, s.memory = append(s.backends, b), append(s.memory, memory)
 	}
-	s.first = s.parts[0]
+	s.first = s.backends[0]
 	s.first.use.entered.Add(1)
 	return s
 }
--- a/role/gateway/share.go
+++ b/role/gateway/share.go
@@ -10,12 +10,12 @@
 )
 
 // changesHeaderTimeout bounds the reading of the header of a request for changes.
-const changesHead = 2 * time.Second
+const changesHeaderTimeout = 2 * time.Second
 
 // firstDigests is how long after its start a gateway assumes that all gateways named in the store
 // are running. The digests of a large hall are seconds apart, and with only some of them received
 // it would choose the wrong gateways as sources of changes.
-const firstWords = 5 * time.Second
+const firstDigests = 5 * time.Second
 
 // initFeed sets up the source of the store's changes.
 func (g *Gateway) initFeed() {
@@ -30,7 +30,7 @@
 // it is to ask the store itself, and whether it is to do so when these do not answer.
 func (g *Gateway) sources() (list []string, standby bool) {
 	o := g.gossip.Overlay()
-	if time.Since(g.started) < firstWords {
+	if time.Since(g.started) < firstDigests {
 		o.Others = g.peers.Members(g.Name)
 		o = o.Trusting()
 	}
@@ -43,7 +43,7 @@
 
 // serveChanges answers requests of other gateways for changes until ctx ends.
 func (g *Gateway) serveChanges(ctx context.Context) {
-	server := &http.Server{Addr: g.Address, Handler: watchhttp.Handler(&g.cache), ReadHeaderTimeout: changesHead}
+	server := &http.Server{Addr: g.Address, Handler: watchhttp.Handler(&g.cache), ReadHeaderTimeout: changesHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // clients turn to another gateway
 	defer stop()
 	if err := server.ListenAndServe(); ctx.Err() == nil {
--- a/role/gateway/stream.go
+++ b/role/gateway/stream.go
@@ -19,14 +19,14 @@
 const (
 	// firstWaitFactor is how long the first event may take before another chain is tried, as a
 	// multiple of the route's objective.
-	firstWait = 3
+	firstWaitFactor = 3
 	// pauseWaitFactor is how long a pause may last before a chain is given up, as a multiple of the
 	// pause that the route allows: a caller gives up after two seconds or eight such pauses.
-	pauseWait = 6
+	pauseWaitFactor = 6
 	// defaultMaxPause is the allowed pause of a route that sets none.
-	pauseDefault = 500 * time.Millisecond
+	defaultMaxPause = 500 * time.Millisecond
 	// defaultObjective is the objective of a route that sets none.
-	objectiveDefault = time.Second
+	defaultObjective = time.Second
 	// maxEvent bounds the size of an event, in bytes.
 	maxEvent = 1 << 20
 	// eventBuffer is the size of the read buffer in bytes, enough for a few events.
@@ -36,7 +36,7 @@
 	// pollBudget is the interval at which a stream polls the retry budget.
 	pollBudget = 15 * time.Millisecond
 	// noRoomWait is how long an endpoint that refused for lack of room is avoided.
-	shortWait = 200 * time.Millisecond
+	noRoomWait = 200 * time.Millisecond
 )
 
 // relay passes a stream on to a caller.
@@ -60,29 +60,29 @@
 // serveModel serves a request of a model. It reports whether the answer has broken off and must not
 // look complete.
 func (g *Gateway) serveModel(q *query) bool {
-	q.returned = g.line.Arrive(q.waiting())
+	q.returned = g.queue.Arrive(q.waiting())
 	s := &relay{g: g, q: q, last: q.After, flush: http.NewResponseController(q.w)}
 	reason := ""
 	for s.maySendAgain() {
-		seat, short := s.seat()
+		res, short := s.nextReservation()
 		if short != shortageNone {
 			reason = joinReasons(short, reason)
 			break
 		}
-		done, why := s.try(seat)
+		done, why := s.attempt(res)
 		if done {
-			s.drop()
+			s.dropReserved()
 			return false
 		}
 		reason = why
-		if q.r.Context().Err() != nil || q.left(time.Now()) <= 0 ||
+		if q.r.Context().Err() != nil || q.timeLeft(time.Now()) <= 0 ||
 			q.mayHaveRun && (!q.route.Repeats() || q.runs() >= q.route.Attempts) {
 			break
 		}
 	}
-	s.drop()
+	s.dropReserved()
 	if s.headSent {
-		q.set(q.status, outcomeBroken, reason)
+		q.setOutcome(q.status, outcomeBroken, reason)
 		if q.callerLeft() {
 			q.outcome = outcomeLeft
 		}
@@ -104,9 +104,9 @@
 	if !s.headSent || s.q.cause != causeNotRun {
 		return false
 	}
-	pause.For(s.q.r.Context(), shortWait)
+	pause.For(s.q.r.Context(), noRoomWait)
 	now := time.Now()
-	return s.q.r.Context().Err() == nil && now.Before(s.turn(now).Until)
+	return s.q.r.Context().Err() == nil && now.Before(s.queueTerms(now).Until)
 }
 
 // joinReasons returns why there is no further attempt, followed by why the last one ended.
@@ -118,7 +118,7 @@
 }
 
 // dropReserved releases a reservation that is not used.
-func (s *relay) drop() {
+func (s *relay) dropReserved() {
 	if s.reserved != nil {
 		s.reserved.release()
 		s.reserved = nil
@@ -128,7 +128,7 @@
 // nextReservation returns the reservation for which the last attempt was abandoned, or makes one,
 // and takes a retry from the budget when the request may already have reached an endpoint. It waits
 // in the queue for as long as the request may.
-func (s *relay) seat() (*reservation, shortage) {
+func (s *relay) nextReservation() (*reservation, shortage) {
 	if short := s.g.awaitIsolation(s.q); short != shortageNone {
 		return nil, short
 	}
@@ -136,12 +136,12 @@
 		s.reserved = nil
 		return taken, shortageNone
 	}
-	turn := s.turn(time.Now())
-	retry := s.q.arrived.Load()
-	if retry && !s.allowed(turn.Until) {
+	turn := s.queueTerms(time.Now())
+	retry := s.q.everReached.Load()
+	if retry && !s.takeRetry(turn.Until) {
 		return nil, shortageBudget
 	}
-	taken, short := s.g.takeTurn(s.q, turn)
+	taken, short := s.g.reserveQueued(s.q, turn)
 	if short == shortageNone {
 		if short = s.g.withheld(s.q); short != shortageNone { // quarantined while it waited in the queue
 			taken.release()
@@ -156,7 +156,7 @@
 // takeRetry takes a retry from the budget, and reports whether there was one. A stream whose caller
 // already has events waits for one as long as its caller does; any other request is refused at
 // once, since its caller can retry.
-func (s *relay) allowed(until time.Time) bool {
+func (s *relay) takeRetry(until time.Time) bool {
 	for !s.g.allowRetry(s.q, s.q.cause) {
 		if !s.headSent || !time.Now().Before(until) || s.q.r.Context().Err() != nil {
 			return false
@@ -169,7 +169,7 @@
 // objective returns how soon the first event is wanted.
 func objective(r *catalog.Route) time.Duration {
 	if r.Objective <= 0 {
-		return objectiveDefault
+		return defaultObjective
 	}
 	return r.Objective
 }
@@ -177,79 +177,79 @@
 // allowedPause returns the longest pause between two events that the route allows.
 func allowedPause(r *catalog.Route) time.Duration {
 	if r.MaxPause <= 0 {
-		return pauseDefault
+		return defaultMaxPause
 	}
 	return r.MaxPause
 }
 
 // attempt sends the request along a chain and passes the events on. It reports whether the request
 // has ended, or else why not.
-func (s *relay) try(seat *reservation) (bool, string) {
+func (s *relay) attempt(res *reservation) (bool, string) {
 	q, g := s.q, s.g
-	q.note(seat.chain.String())
+	q.noteUsed(res.chain.String())
 	ctx, cancel := context.WithDeadlineCause(q.r.Context(), q.deadline, context.DeadlineExceeded)
 	defer cancel()
-	w := newWatchdog(ctx, s, seat, cancel)
+	w := newWatchdog(ctx, s, res, cancel)
 	defer func() { s.reserved = w.stop() }()
 	s.sentAt = time.Now()
-	t := g.send(ctx, q, seat.first, seat.chain, s.last)
+	t := g.send(ctx, q, res.first, res.chain, s.last)
 	if t.answer != nil {
 		defer t.answer.Close()
 	}
 	switch t.verdict {
 	case verdictNotRun:
 		q.cause = causeNotRun
-		s.blame(seat, t)
+		s.noteRefusal(res, t)
 		return false, notRunReason(t)
 	case verdictLost, verdictEnded:
 		q.cause = causeLost
-		q.ran = append(q.ran, seat.first)
+		q.ran = append(q.ran, res.first)
 		if t.verdict == verdictLost {
-			g.verify(q.r.Context(), seat.first)
+			g.verify(q.r.Context(), res.first)
 		}
-		s.noteLoss(seat.first)
-		q.avoid(seat.first.Address)
+		s.noteLoss(res.first)
+		q.avoid(res.first.Address)
 		return false, t.err.Error()
 	}
-	q.ran = append(q.ran, seat.first)
+	q.ran = append(q.ran, res.first)
 	if t.answer.Status != http.StatusOK {
-		return s.whole(t, seat)
+		return s.passWhole(t, res)
 	}
-	return s.events(t, seat, w)
+	return s.events(t, res, w)
 }
 
 // noteRefusal records which endpoint of a chain refused.
-func (s *relay) blame(seat *reservation, t attempt) {
-	address := seat.first.Address
+func (s *relay) noteRefusal(res *reservation, t attempt) {
+	address := res.first.Address
 	if t.answer != nil && t.reply.Blamed != "" {
 		address = t.reply.Blamed
 	}
 	s.q.avoid(address)
 	if b := s.g.fleet.Load().byAddress[address]; b != nil {
-		b.use.shortUntil.Store(time.Now().Add(shortWait).UnixNano())
-		if address != seat.first.Address {
-			s.g.doubtRefused(b, t.answer != nil && t.answer.Status == http.StatusMisdirectedRequest, s.sentAt)
+		b.use.noRoomUntil.Store(time.Now().Add(noRoomWait).UnixNano())
+		if address != res.first.Address {
+			s.g.checkRefused(b, t.answer != nil && t.answer.Status == http.StatusMisdirectedRequest, s.sentAt)
 		}
 	}
-	s.g.Log.Info().Str("request", s.q.ID).Str("first", seat.first.Address).Str("blamed", address).
+	s.g.Log.Info().Str("request", s.q.ID).Str("first", res.first.Address).Str("blamed", address).
 		Str("reason", notRunReason(t)).Msg("chain refused the request")
 }
 
 // noteLoss records whether all gateways have lost the first endpoint of an attempt.
 func (s *relay) noteLoss(first *backend) {
-	together := 0.0
-	if first.use.dead(time.Now()) {
-		together = first.use.together()
+	fleetFactor := 0.0
+	if first.use.presumedDead(time.Now()) {
+		fleetFactor = first.use.fleetFactor()
 	}
-	s.q.setTogether(together)
+	s.q.setFleetFactor(fleetFactor)
 }
 
 // passWhole passes on an answer that is not a stream.
-func (s *relay) whole(t attempt, seat *reservation) (bool, string) {
+func (s *relay) passWhole(t attempt, res *reservation) (bool, string) {
 	body, err := t.answer.ReadAll()
 	if err != nil || s.headSent || t.answer.Status >= http.StatusInternalServerError && s.q.route.Repeats() {
-		seat.first.use.judge(health.Record.WithFailure)
-		s.q.avoid(seat.first.Address)
+		res.first.use.updateHealth(health.Record.WithFailure)
+		s.q.avoid(res.first.Address)
 		s.q.cause = causeFailed
 		return false, "the endpoint answered " + strconv.Itoa(t.answer.Status)
 	}
@@ -259,20 +259,20 @@
 
 // events passes events on until the stream ends or breaks. It reports whether the request has
 // ended, or else why not.
-func (s *relay) events(t attempt, seat *reservation, w *watchdog) (bool, string) {
+func (s *relay) events(t attempt, res *reservation, w *watchdog) (bool, string) {
 	reader := event.Reader{Source: bufio.NewReaderSize(t.answer, eventBuffer), Max: maxEvent}
 	for {
 		e, err := reader.Next()
 		if errors.Is(err, io.EOF) {
-			seat.first.use.judge(health.Record.WithSuccess)
+			res.first.use.updateHealth(health.Record.WithSuccess)
 			return true, s.finish(t)
 		}
 		if err != nil {
-			return false, s.broken(seat, w, err)
+			return false, s.broken(res, w, err)
 		}
 		w.noteEvent()
 		if err := s.pass(t, e, reader.Source.Buffered() == 0); err != nil {
-			s.q.set(s.q.status, outcomeLeft, err.Error())
+			s.q.setOutcome(s.q.status, outcomeLeft, err.Error())
 			return true, ""
 		}
 	}
@@ -284,7 +284,7 @@
 	if !s.headSent {
 		s.head(t)
 		s.q.first = now
-		s.g.line.Times.NoteFirst(s.q.service.Name, now.Sub(s.sentAt))
+		s.g.queue.Times.NoteFirst(s.q.service.Name, now.Sub(s.sentAt))
 	} else {
 		s.q.pause = max(s.q.pause, now.Sub(s.lastAt))
 	}
@@ -308,7 +308,7 @@
 // head writes the head of the answer to the caller.
 func (s *relay) head(t attempt) {
 	s.headSent = true
-	s.q.set(t.answer.Status, outcomeServed, "")
+	s.q.setOutcome(t.answer.Status, outcomeServed, "")
 	copyHeader(s.q.w.Header(), t.answer.Header)
 	s.q.w.WriteHeader(t.answer.Status)
 }
@@ -319,26 +319,26 @@
 		s.head(t)
 	}
 	_ = s.flush.SetWriteDeadline(time.Time{}) // the next answer sets its own
-	s.q.set(t.answer.Status, outcomeServed, "")
-	s.g.quarantine.Survived(s.q.print, time.Now())
-	s.g.line.Times.NoteWhole(s.q.service.Name, time.Since(s.sentAt))
+	s.q.setOutcome(t.answer.Status, outcomeServed, "")
+	s.g.quarantine.Survived(s.q.fingerprint, time.Now())
+	s.g.queue.Times.NoteWhole(s.q.service.Name, time.Since(s.sentAt))
 	return ""
 }
 
 // broken records that a chain broke and returns why.
-func (s *relay) broken(seat *reservation, w *watchdog, err error) string {
+func (s *relay) broken(res *reservation, w *watchdog, err error) string {
 	q := s.q
 	if q.r.Context().Err() != nil {
 		return "the caller left"
 	}
 	stalled := w.gaveUp()
-	q.avoid(seat.first.Address)
-	seat.first.use.judge(health.Record.WithFailure)
-	s.g.verify(q.r.Context(), seat.first)
-	s.noteLoss(seat.first)
-	q.carried++
+	q.avoid(res.first.Address)
+	res.first.use.updateHealth(health.Record.WithFailure)
+	s.g.verify(q.r.Context(), res.first)
+	s.noteLoss(res.first)
+	q.resumed++
 	q.cause = causeBroken
-	s.g.Log.Info().Str("request", q.ID).Stringer("chain", seat.chain).Bool("stalled", stalled).Err(err).
+	s.g.Log.Info().Str("request", q.ID).Stringer("chain", res.chain).Bool("stalled", stalled).Err(err).
 		Int("events", q.events).Str("last", s.last).Msg("chain broke")
 	return "the chain broke: " + err.Error()
 }
--- a/role/gateway/survey.go
+++ b/role/gateway/survey.go
@@ -25,7 +25,7 @@
 			for _, b := range f.byHall[hall] {
 				now := time.Now()
 				rests := b.use.intake.Held(now) == throttle.Resting
-				if b.Card != "" && !rests && !b.use.askedLately(now) && !b.use.dead(now) && o.Rank(b.ID, hall) == 0 {
+				if b.Card != "" && !rests && !b.use.askedLately(now) && !b.use.presumedDead(now) && o.Rank(b.ID, hall) == 0 {
 					g.ask(ctx, b)
 				}
 			}
--- a/role/gateway/suspect.go
+++ b/role/gateway/suspect.go
@@ -23,40 +23,40 @@
 	checkedFresh = 800 * time.Millisecond
 	// checkStagger is how much longer a check by another gateway counts for each gateway that ranks
 	// before this one as checker of the endpoint: the interval between two digests.
-	checkTurn = 150 * time.Millisecond
+	checkStagger = 150 * time.Millisecond
 	// checkersEach is the number of gateways that check an endpoint for the others: one may be cut
 	// off.
 	checkersEach = 2
 	// maxRecheckInterval bounds the time between two checks of a down endpoint by a gateway that is
 	// not one of its checkers.
-	strayEvery = 3 * time.Second
+	maxRecheckInterval = 3 * time.Second
 	// recheckInterval is the time between two checks of a down endpoint.
-	reviveEvery = 400 * time.Millisecond
+	recheckInterval = 400 * time.Millisecond
 	// endedAfter is how long an endpoint must have been silent to count as ended: a process that
 	// was paused, or a connection that lost packets, is back sooner.
 	endedAfter = 700 * time.Millisecond
 	// unverifiedReportTime is how long an endpoint is presumed dead because other gateways report
 	// it down before this gateway checks it: the record of an endpoint that has ended lapses in
 	// about four seconds.
-	toldEnough = 1200 * time.Millisecond
+	unverifiedReportTime = 1200 * time.Millisecond
 	// contradictionTime is how long an answer of an endpoint overrides reports that it is down.
-	contradicts = 3 * time.Second
+	contradictionTime = 3 * time.Second
 	// verifyPoll is the interval at which a concurrent check is polled for its end: checking a live
 	// endpoint takes a few milliseconds.
 	verifyPoll = 2 * time.Millisecond
 	// reportFresh is how long a report by another gateway counts, and how long after a check
 	// without an answer this gateway reports an endpoint as down: several digest intervals.
-	wordFresh = time.Second
+	reportFresh = time.Second
 )
 
 // Results of checks, as the metrics name them.
 const (
 	checkPassed  = "passed"
 	checkSilent  = "silent"
-	checkHeldUp  = "held up"
+	checkStarved = "held up"
 	checkRevived = "revived"
 	// checkNewIncarnation is a check that another incarnation of the endpoint answered.
-	checkAnother = "another life"
+	checkNewIncarnation = "another life"
 	// checkStillSilent is a check without an answer of an endpoint that is already down.
 	checkStillSilent = "still silent"
 )
@@ -64,40 +64,40 @@
 // checkAsync checks an endpoint in the background, one check at a time, and again while this
 // process is starved of processor time. Streams through an endpoint that does not answer are moved
 // at once: a report by the endpoints before it in the chain comes only about 200 ms later.
-func (g *Gateway) suspect(b *backend) {
+func (g *Gateway) checkAsync(b *backend) {
 	if b.use.down() || !b.use.checking.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		begun := time.Now()
-		known := g.check(b)
+		known := g.checkNow(b)
 		b.use.checking.Store(false)
 		if !known {
-			g.recheckHeldUp(b, begun)
+			g.recheckStarved(b, begun)
 		}
 	}()
 }
 
 // starvedWait is the time between two checks of an endpoint while this process is starved. It
 // grows, since checks themselves take processor time.
-var heldUpWait = backoff.Backoff{Base: 250 * time.Millisecond, Max: time.Second}
+var starvedWait = backoff.Backoff{Base: 250 * time.Millisecond, Max: time.Second}
 
 // recheckStarved repeats the check of an endpoint that could not be judged until it can be, an
 // event has come through it after since, or its record is gone.
-func (g *Gateway) recheckHeldUp(b *backend, since time.Time) {
-	if !b.use.heldUp.CompareAndSwap(false, true) {
+func (g *Gateway) recheckStarved(b *backend, since time.Time) {
+	if !b.use.recheckingStarved.CompareAndSwap(false, true) {
 		return // another goroutine repeats the check
 	}
-	defer b.use.heldUp.Store(false)
-	for checks := 1; g.current(b); checks++ {
-		pause.For(context.Background(), heldUpWait.Delay(checks, 0))
+	defer b.use.recheckingStarved.Store(false)
+	for checks := 1; g.isCurrent(b); checks++ {
+		pause.For(context.Background(), starvedWait.Delay(checks, 0))
 		if b.use.down() || b.use.eventAt.Load() > since.UnixNano() {
 			return
 		}
 		if !b.use.checking.CompareAndSwap(false, true) {
 			continue // another check is running
 		}
-		known := g.check(b)
+		known := g.checkNow(b)
 		b.use.checking.Store(false)
 		if known {
 			return
@@ -106,7 +106,7 @@
 }
 
 // isCurrent reports whether the backend is the incarnation that the record of the endpoint names.
-func (g *Gateway) current(b *backend) bool {
+func (g *Gateway) isCurrent(b *backend) bool {
 	now := g.fleet.Load().byID[b.ID]
 	return now != nil && now.use == b.use
 }
@@ -114,7 +114,7 @@
 // verify checks an endpoint that has broken off an answer, and returns once it is known whether it
 // has ended: an endpoint that has ended does not count as an attempt of the request.
 func (g *Gateway) verify(ctx context.Context, b *backend) {
-	broken := time.Now()
+	brokenAt := time.Now()
 	for !b.use.checking.CompareAndSwap(false, true) {
 		if ctx.Err() != nil || b.use.down() {
 			return
@@ -123,52 +123,52 @@
 	}
 	defer b.use.checking.Store(false)
 	if !b.use.down() {
-		g.checkSince(b, broken)
+		g.checkSince(b, brokenAt)
 	}
 }
 
 // checkIfUncertain checks an endpoint through which an event is late, unless one has just come
 // through it or it has recently passed a check.
-func (g *Gateway) doubt(b *backend, now time.Time) {
-	if b.use.passed(now) || now.UnixNano()-b.use.checkedAt.Load() < int64(checkedFresh) {
+func (g *Gateway) checkIfUncertain(b *backend, now time.Time) {
+	if b.use.hasRecentEvent(now) || now.UnixNano()-b.use.checkedAt.Load() < int64(checkedFresh) {
 		return
 	}
-	g.suspect(b)
+	g.checkAsync(b)
 }
 
 // checkRefused does the same for an endpoint that a refusal names, which has no room or has ended;
 // sent is when the request was sent. A misdirected request means that it lacks the layers of its
 // record: then it is checked unless it has passed a check since.
-func (g *Gateway) doubtRefused(b *backend, misdirected bool, sent time.Time) {
+func (g *Gateway) checkRefused(b *backend, misdirected bool, sent time.Time) {
 	if misdirected && b.use.checkedAt.Load() < sent.UnixNano() {
-		g.suspect(b)
+		g.checkAsync(b)
 		return
 	}
-	g.doubt(b, time.Now())
+	g.checkIfUncertain(b, time.Now())
 }
 
 // checkBehind does the same for an endpoint that this gateway reaches only through another one,
 // where a check that another gateway passed counts as much as its own. Of the gateways that use a
 // slow endpoint one checks it first, and the others only if no digest reports that check.
-func (g *Gateway) doubtBehind(b *backend, now time.Time) {
-	turn := time.Duration(g.gossip.Overlay().Rank(b.ID, b.Hall)) * checkTurn
-	if now.UnixNano()-b.use.othersCheckedAt.Load() < int64(min(checkedFresh+turn, checkedTold)) {
+func (g *Gateway) checkBehind(b *backend, now time.Time) {
+	stagger := time.Duration(g.gossip.Overlay().Rank(b.ID, b.Hall)) * checkStagger
+	if now.UnixNano()-b.use.othersCheckedAt.Load() < int64(min(checkedFresh+stagger, checkReportTime)) {
 		return
 	}
-	g.doubt(b, now)
+	g.checkIfUncertain(b, now)
 }
 
 // checkNow asks an endpoint for its report and records when it gives none. An endpoint of a plain
 // service never gives one. It returns false when the endpoint cannot be judged because this process
 // was starved of processor time.
-func (g *Gateway) check(b *backend) bool {
+func (g *Gateway) checkNow(b *backend) bool {
 	return g.checkSince(b, time.Time{})
 }
 
 // checkSince does the same with a question that is asked after since.
 func (g *Gateway) checkSince(b *backend, since time.Time) bool {
 	if b.Card == "" {
-		g.knock(b)
+		g.checkPlain(b)
 		return true
 	}
 	begun := time.Now()
@@ -176,15 +176,15 @@
 	now := time.Now()
 	switch {
 	case errors.Is(err, probe.ErrHeldUp):
-		g.Meter.Check(checkHeldUp)
+		g.Meter.Check(checkStarved)
 		return false
 	case silent(err):
 		g.Meter.Check(checkSilent)
 		g.noteSilence(b, errors.Is(err, syscall.ECONNREFUSED), err, begun)
 		return true
-	case err == nil && b.outlived(report):
-		g.Meter.Check(checkAnother)
-		g.noteSilence(b, true, errAnotherLife, begun)
+	case err == nil && b.replacedBy(report):
+		g.Meter.Check(checkNewIncarnation)
+		g.noteSilence(b, true, errNewIncarnation, begun)
 		return true
 	}
 	g.Meter.Check(checkPassed)
@@ -220,11 +220,11 @@
 
 // errNewIncarnation is the error of an endpoint that answers as an incarnation other than that of
 // its record.
-var errAnotherLife = errors.New("the endpoint has started again")
+var errNewIncarnation = errors.New("the endpoint has started again")
 
 // replacedBy reports whether a report comes from a later incarnation than the record names. That
 // incarnation holds nothing that the record says.
-func (b *backend) outlived(r runner.Report) bool {
+func (b *backend) replacedBy(r runner.Report) bool {
 	return endpoint.Endpoint{Born: r.Born}.Follows(b.Endpoint)
 }
 
@@ -236,9 +236,9 @@
 	b.use.markDown(now, ended)
 	g.Log.Info().Str("endpoint", b.ID).Str("address", b.Address).Err(err).Bool("ended", ended).
 		Strs("begun", fingerprints(ran)).Dur("took_ms", now.Sub(begun)).Msg("endpoint does not answer")
-	g.spreadLoss(b)
+	g.announceLoss(b)
 	if ended {
-		g.quarantine.Report(b.life(), ran, now)
+		g.quarantine.Report(b.incarnation(), ran, now)
 	} else {
 		b.use.begun.Store(&ran)
 	}
@@ -247,7 +247,7 @@
 
 // checkPlain records whether the host of an endpoint of a plain service refuses connections to it.
 // Its health check would wait for a slot, as requests do.
-func (g *Gateway) knock(b *backend) {
+func (g *Gateway) checkPlain(b *backend) {
 	ended := probe.Refuses(context.Background(), b.Address)
 	if ended {
 		g.Meter.Check(checkSilent)
@@ -262,7 +262,7 @@
 
 // noteAnswer records that an endpoint has answered a question asked at begun.
 func (g *Gateway) noteAnswer(b *backend, begun, now time.Time) {
-	if b.use.answered(begun, now) {
+	if b.use.noteAnswered(begun, now) {
 		g.Log.Info().Str("endpoint", b.ID).Str("address", b.Address).Int("witnesses", b.use.witnesses.Count(now)).
 			Msg("endpoint answers, against the word of others")
 	}
@@ -277,7 +277,7 @@
 
 // announceLoss has the streams through a lost endpoint moved, and notifies the other gateways at
 // once.
-func (g *Gateway) spreadLoss(b *backend) {
+func (g *Gateway) announceLoss(b *backend) {
 	b.use.watchers.checkSoon()
 	if b.use.down() && b.use.witnesses.Count(time.Now()) < enoughWitnesses {
 		g.gossip.TellLoss(b.ID)
@@ -290,13 +290,13 @@
 	now := time.Now()
 	for _, stall := range report.Stalled {
 		b := g.fleet.Load().byAddress[stall.Address]
-		if b == nil || b.use.dead(now) {
+		if b == nil || b.use.presumedDead(now) {
 			continue
 		}
-		b.use.stall(now)
+		b.use.noteStall(now)
 		g.Log.Info().Str("endpoint", b.ID).Str("address", b.Address).Str("request", stall.Request).
 			Msg("endpoint holds requests up")
-		g.spreadLoss(b)
+		g.announceLoss(b)
 	}
 }
 
@@ -313,9 +313,9 @@
 // answered again.
 func (g *Gateway) revive(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, reviveEvery)
+		pause.For(ctx, recheckInterval)
 		for _, b := range g.fleet.Load().byID {
-			g.verifyTold(b, time.Now())
+			g.verifyReportedDown(b, time.Now())
 			if !b.use.down() || !g.recheckDue(b, time.Now()) || !b.use.checking.CompareAndSwap(false, true) {
 				continue
 			}
@@ -330,14 +330,14 @@
 // verifyReportedDown checks an endpoint that has for some time been presumed dead because others
 // report it down: the others may be cut off from it, and this gateway may be the one that reaches
 // it.
-func (g *Gateway) verifyTold(b *backend, now time.Time) {
-	if now.UnixNano() < b.use.toldUntil.Load() && now.UnixNano()-b.use.toldSince.Load() > int64(toldEnough) {
-		g.suspect(b)
+func (g *Gateway) verifyReportedDown(b *backend, now time.Time) {
+	if now.UnixNano() < b.use.reportedDownUntil.Load() && now.UnixNano()-b.use.reportedDownSince.Load() > int64(unverifiedReportTime) {
+		g.checkAsync(b)
 	}
 }
 
 // isChecker reports whether this gateway is one of those that check an endpoint for the others.
-func (g *Gateway) looksAfter(b *backend) bool {
+func (g *Gateway) isChecker(b *backend) bool {
 	return g.leading.Load() || g.gossip.Overlay().Rank(b.ID, b.Hall) < checkersEach
 }
 
@@ -346,10 +346,10 @@
 // maxRecheckInterval. An endpoint that is down for this gateway alone is checked at growing
 // intervals.
 func (g *Gateway) recheckDue(b *backend, now time.Time) bool {
-	if g.looksAfter(b) {
+	if g.isChecker(b) {
 		return true
 	}
-	wait := strayEvery
+	wait := maxRecheckInterval
 	if b.use.othersDown.Load() == 0 {
 		wait = recheckWait.Delay(int(b.use.rechecks.Load()), 0)
 	}
@@ -357,16 +357,16 @@
 }
 
 // recheckWait is the time between two checks of an endpoint that is down for one gateway alone.
-var recheckWait = backoff.Backoff{Base: reviveEvery, Max: strayEvery}
+var recheckWait = backoff.Backoff{Base: recheckInterval, Max: maxRecheckInterval}
 
 // recheck asks an endpoint that is down for its report, and uses it again when it gives one.
 func (g *Gateway) recheck(ctx context.Context, b *backend) {
 	report, err := g.probes.Ask(ctx, b.Address)
 	if errors.Is(err, probe.ErrHeldUp) {
-		g.Meter.Check(checkHeldUp)
+		g.Meter.Check(checkStarved)
 		return
 	}
-	if silent(err) || b.outlived(report) { // the record of the new incarnation follows
+	if silent(err) || b.replacedBy(report) { // the record of the new incarnation follows
 		g.Meter.Check(checkStillSilent)
 		b.use.silentAt.Store(time.Now().UnixNano())
 		b.use.rechecks.Add(1)
--- a/role/gateway/try.go
+++ b/role/gateway/try.go
@@ -39,7 +39,7 @@
 // maxConnIdleNonRepeatable if the request must not be sent twice: an endpoint may close an idle
 // connection at any time, and a request sent while it does may have run.
 const (
-	maxConnIdle     = 10 * time.Second
+	maxConnIdle              = 10 * time.Second
 	maxConnIdleNonRepeatable = 200 * time.Millisecond
 )
 
@@ -51,7 +51,7 @@
 	q.reached.Store(false)
 	header := q.r.Header.Clone()
 	g.Dialect.Send(header, exchange.Send{
-		Team: q.team, Left: q.left(time.Now()), Endpoint: b.ID, Priority: q.priority, Chain: c, After: after,
+		Team: q.team, Left: q.timeLeft(time.Now()), Endpoint: b.ID, Priority: q.priority, Chain: c, After: after,
 	})
 	call := upstream.Call{
 		Address: b.Address, Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host, Header: header,
@@ -68,7 +68,7 @@
 	if err != nil {
 		return g.sendFailed(ctx, q, b, err)
 	}
-	q.arrived.Store(true)
+	q.everReached.Store(true)
 	t := attempt{answer: answer, reply: g.Dialect.Reply(answer.Status, answer.Header)}
 	g.noteLoad(b, t.reply)
 	t.reply.Word.Sent, t.reply.Word.Heard = q.sentAt, time.Now()
@@ -81,14 +81,14 @@
 		_, _ = answer.ReadAll() // only so that the connection can be reused
 	case t.reply.Signed && t.reply.ID == q.ID:
 		q.mayHaveRun = true
-		b.use.judge(health.Record.WithAnswer)
+		b.use.updateHealth(health.Record.WithAnswer)
 		if b.Card == "" {
 			b.use.ended.Store(false) // it has started again
 		}
 	default:
 		q.mayHaveRun = true
 		t.verdict, t.err = verdictLost, errUnsigned
-		b.use.judge(health.Record.WithFailure)
+		b.use.updateHealth(health.Record.WithFailure)
 	}
 	return t
 }
@@ -109,7 +109,7 @@
 	sent := !errors.As(err, &failed) || failed.Sent
 	if sent {
 		q.mayHaveRun = true
-		q.arrived.Store(true)
+		q.everReached.Store(true)
 	} else {
 		t.verdict = verdictNotRun
 	}
@@ -119,14 +119,14 @@
 	}
 	switch {
 	case !sent || b.Card == "" && ctx.Err() == nil:
-		b.use.judge(func(r health.Record) health.Record { return r.WithLoss(time.Now()) })
+		b.use.updateHealth(func(r health.Record) health.Record { return r.WithLoss(time.Now()) })
 	case ctx.Err() == nil:
-		b.use.judge(func(r health.Record) health.Record { return r.WithDrop(time.Now()) })
+		b.use.updateHealth(func(r health.Record) health.Record { return r.WithDrop(time.Now()) })
 	default:
-		b.use.judge(health.Record.WithFailure)
+		b.use.updateHealth(health.Record.WithFailure)
 	}
 	if !sent {
-		g.suspect(b)
+		g.checkAsync(b)
 	}
 	return t
 }
@@ -135,17 +135,17 @@
 func (g *Gateway) noteLoad(b *backend, r exchange.Reply) {
 	if r.Slots > 0 {
 		b.use.waiting.Store(int64(r.Waiting))
-		b.use.said.Store(time.Now().UnixNano())
+		b.use.loadReportedAt.Store(time.Now().UnixNano())
 	}
 }
 
 // Causes of sending a request again.
 const (
-	causeNotRun = "not run"
-	causeLost   = "lost"
-	causeFailed = "failed"
-	causeBroken = "broken off"
-	causeAbandoned   = "left"
+	causeNotRun    = "not run"
+	causeLost      = "lost"
+	causeFailed    = "failed"
+	causeBroken    = "broken off"
+	causeAbandoned = "left"
 )
 
 // allowRetry takes a retry from the budget, counts it, and reports whether there was one.
--- a/role/gateway/watchdog.go
+++ b/role/gateway/watchdog.go
@@ -20,7 +20,7 @@
 	// allowed pause; the value between them is learned from the stream. The rest of the pause
 	// remains for repairing the chain.
 	minOverdueShare = 0.35
-	maxOverdueShare  = 0.5
+	maxOverdueShare = 0.5
 	// recheckShare is the delay until the next check, as a share of the objective or of the allowed
 	// pause.
 	recheckShare = 0.5
@@ -34,16 +34,16 @@
 // chain and moves the request to a chain without those that do not answer. When that does not help
 // it abandons the attempt, and the stream is resumed along another chain.
 type watchdog struct {
-	ctx    context.Context
-	relay  *relay
-	cancel context.CancelFunc
-	startedAt  time.Time
+	ctx       context.Context
+	relay     *relay
+	cancel    context.CancelFunc
+	startedAt time.Time
 	// final is set when no further attempt may follow.
 	final bool
 
-	mu    sync.Mutex // guards the fields below
-	reservation  *reservation
-	timer *time.Timer
+	mu          sync.Mutex // guards the fields below
+	reservation *reservation
+	timer       *time.Timer
 	// last is when the latest event arrived, first when the first event of the current chain did;
 	// zero before.
 	first, last time.Time
@@ -97,8 +97,8 @@
 		w.first = now
 	}
 	w.last = now
-	w.reservation.promptRead()
-	for _, b := range w.reservation.parts {
+	w.reservation.notePromptRead()
+	for _, b := range w.reservation.backends {
 		b.use.eventAt.Store(now.UnixNano())
 	}
 	w.timer.Reset(w.gaps.Value())
@@ -194,15 +194,15 @@
 const workingEventAge = 400 * time.Millisecond
 
 // waitedEnough reports whether the attempt has waited long enough for an event.
-func (w *watchdog) waitedEnough(seat *reservation, last time.Time) bool {
+func (w *watchdog) waitedEnough(res *reservation, last time.Time) bool {
 	q, now := w.relay.q, time.Now()
-	if !q.route.Repeats() || now.UnixNano()-seat.first.use.eventAt.Load() < int64(workingEventAge) {
+	if !q.route.Repeats() || now.UnixNano()-res.first.use.eventAt.Load() < int64(workingEventAge) {
 		return false
 	}
 	if last.IsZero() {
-		return now.Sub(w.startedAt) > firstWait*objective(q.route)
+		return now.Sub(w.startedAt) > firstWaitFactor*objective(q.route)
 	}
-	return now.Sub(last) > pauseWait*allowedPause(q.route)
+	return now.Sub(last) > pauseWaitFactor*allowedPause(q.route)
 }
 
 // releaseReservation releases the reservation although the attempt goes on: its first endpoint has
@@ -222,11 +222,11 @@
 		return false
 	}
 	q := w.relay.q
-	wait, spare := moved.promptReadTime(q, old, lost.use.together()), w.timeLeft(time.Now())
+	wait, spare := moved.promptReadTime(q, old, lost.use.fleetFactor()), w.timeLeft(time.Now())
 	if !reread.Leave(wait, 0, spare) {
 		return false
 	}
-	q.arrived.Store(true) // so that the new attempt is charged to the retry budget
+	q.everReached.Store(true) // so that the new attempt is charged to the retry budget
 	next, short := w.relay.g.reserveAttempt(q, causeAbandoned)
 	if short != shortageNone {
 		return false
@@ -273,10 +273,10 @@
 	}
 	q := w.relay.q
 	if w.relay.g.suspected(q) { // it waits for an isolated attempt
-		q.arrived.Store(true)
+		q.everReached.Store(true)
 		return res.first.use.down() && w.abandonFor(nil)
 	}
-	q.arrived.Store(true)
+	q.everReached.Store(true)
 	q.avoid(res.first.Address)
 	next, short := w.relay.g.reserveAttempt(q, causeAbandoned)
 	w.mu.Lock()
@@ -307,14 +307,14 @@
 		w.releaseReservation()
 		return false
 	}
-	for _, b := range res.parts[1:] {
-		if b.use.dead(now) {
+	for _, b := range res.backends[1:] {
+		if b.use.presumedDead(now) {
 			return w.move(res, b)
 		}
 	}
-	w.relay.g.doubt(res.first, now)
-	for _, b := range res.parts[1:] {
-		w.relay.g.doubtBehind(b, now)
+	w.relay.g.checkIfUncertain(res.first, now)
+	for _, b := range res.backends[1:] {
+		w.relay.g.checkBehind(b, now)
 	}
 	return true
 }
@@ -373,5 +373,5 @@
 	w.reservation, w.first = next, time.Time{}
 	w.movedWhileSuspect = w.relay.g.suspected(w.relay.q)
 	next.addWatchdog(w)
-	w.relay.q.note("moved: " + next.chain.String())
+	w.relay.q.noteUsed("moved: " + next.chain.String())
 }
