--- a/role/gateway/admission.go
+++ b/role/gateway/admission.go
@@ -49,12 +49,12 @@
 	return nil, found
 }
 
-// queueTerms returns how the request waits for a reservation at now: one whose caller already has
+// terms returns how the request waits for a reservation at now: one whose caller already has
 // events waits for as long as the caller accepts a pause.
-func (s *relay) queueTerms(now time.Time) admission.Turn {
-	turn := s.g.queue.Turn(s.q.waiting(), now)
+func (s *relay) terms(now time.Time) admission.Turn {
+	terms := s.g.queue.Turn(s.q.waiting(), now)
 	if s.headSent {
-		turn.Until = s.lastAt.Add(pauseWaitFactor * allowedPause(s.q.route))
+		terms.Until = s.lastAt.Add(pauseWaitFactor * allowedPause(s.q.route))
 	}
-	return turn
+	return terms
 }
--- a/role/gateway/chooser.go
+++ b/role/gateway/chooser.go
@@ -19,16 +19,16 @@
 type chooser struct {
 	finder  chain.Finder
 	holders []chain.Holder
-	// hallNoise is the random cost factor of each hall for this request.
-	hallNoise []float64
+	// noise is the random cost factor of each hall for this request.
+	noise []float64
 	// fleetFactor is the number of requests of all gateways that do the same for each one of this
 	// gateway: 1 for a single request, more for one that leaves a lost endpoint.
 	fleetFactor float64
-	// unreported is the share of the other gateways' requests at an endpoint that may have arrived
+	// unseen is the share of the other gateways' requests at an endpoint that may have arrived
 	// since their last report.
-	unreported float64
-	// isolated holds the endpoints reserved for trying suspects.
-	isolated isolation.Plan
+	unseen float64
+	// isolationPlan holds the endpoints reserved for trying suspects.
+	isolationPlan isolation.Plan
 	// open, avoided and crowded count the endpoints of the model, those that were avoided, and
 	// those without enough memory.
 	open, avoided, crowded int
@@ -63,7 +63,7 @@
 		}
 	}
 	for i, p := range old.chain {
-		b := old.backends[i]
+		b := old.parts[i]
 		if i > 0 && (q.avoids(p.Address) || b.use.presumedDead(now)) {
 			continue
 		}
@@ -90,16 +90,16 @@
 func (c *chooser) prepare(m *catalog.Model, f *fleet, home string, others unseen.Flow) {
 	c.finder.Layers = m.Layers
 	c.fleetFactor = 1
-	c.unreported = others.Part()
+	c.unseen = others.Part()
 	c.finder.Entry = c.finder.Entry[:0]
-	c.hallNoise = c.hallNoise[:0]
+	c.noise = c.noise[:0]
 	for _, hall := range f.halls {
 		entry := remoteEntryCost
 		if hall == home {
 			entry = 0
 		}
 		c.finder.Entry = append(c.finder.Entry, entry)
-		c.hallNoise = append(c.hallNoise, 1+maxHallNoise*rand.Float64())
+		c.noise = append(c.noise, 1+maxHallNoise*rand.Float64())
 	}
 }
 
@@ -133,7 +133,7 @@
 )
 
 // collect lists the backends that a request may use.
-func (c *chooser) collect(q *query, f *fleet, need int, filter candidateFilter) {
+func (c *chooser) collect(q *query, f *fleet, need int, use candidateFilter) {
 	c.holders = c.holders[:0]
 	c.open, c.avoided, c.crowded, c.entryCandidates, c.held = 0, 0, 0, 0, c.held[:0]
 	now := time.Now()
@@ -149,25 +149,25 @@
 		// An endpoint whose host refuses connections has certainly ended. Sending there would only
 		// use up the retry budget that callers need once other endpoints hold its layers.
 		out := hold == throttle.Leaving || b.use.down() && b.use.ended.Load()
-		if q.avoids(b.Address) || out || filter != skipFull && b.use.avoided(now) {
+		if q.avoids(b.Address) || out || use != skipFull && b.use.avoided(now) {
 			c.avoided++
 			continue
 		}
-		if usable.First == 0 && !q.mayStartAt(b, c.isolated) {
+		if usable.First == 0 && !q.mayStartAt(b, c.isolationPlan) {
 			usable.First = 1 // the endpoint that starts a request is the one that the request may crash
 		}
 		if usable.First == 0 {
 			c.entryCandidates++
-			if filter != skipAvoided && c.declines(hold) {
+			if use != skipAvoided && c.declines(hold) {
 				c.held = append(c.held, b)
 				usable.First = 1 // the limit counts only requests that start at the endpoint, not those that pass through it
 			}
 		}
 		room, free := b.room(q.service.Model, need)
-		if filter != skipAvoided && usable.First == 0 && b.slotsFull(c.unreported) {
+		if use != skipAvoided && usable.First == 0 && b.slotsFull(c.unseen) {
 			usable.First = 1 // layers behind the first need no slot
 		}
-		if filter != skipAvoided && (free < 0 || usable.Empty()) {
+		if use != skipAvoided && (free < 0 || usable.Empty()) {
 			c.crowded++
 			continue
 		}
@@ -215,17 +215,17 @@
 }
 
 // slotsFull reports whether a backend can be the first of no further chain. Only a request whose
-// chain begins there takes one of its slots. unreported is the share of the other gateways'
+// chain begins there takes one of its slots. unseen is the share of the other gateways'
 // requests there that may have arrived since their last report.
-func (b *backend) slotsFull(unreported float64) bool {
+func (b *backend) slotsFull(unseen float64) bool {
 	others := float64(b.use.othersEntered.Load())
-	return int(float64(b.use.entered.Load())+others*(1+unreported)) >= b.Slots
+	return int(float64(b.use.entered.Load())+others*(1+unseen)) >= b.Slots
 }
 
 // perLayer returns the cost of a layer of a backend for a request, in seconds per token, before the
 // memory factor.
 func (c *chooser) perLayer(q *query, b *backend, now time.Time) float64 {
-	noise := c.hallNoise[b.hall] * (1 + maxEndpointNoise*rand.Float64())
+	noise := c.noise[b.hall] * (1 + maxEndpointNoise*rand.Float64())
 	slow := float64(b.use.slowness(now)) / pace.Unit
 	return c.layerTime(q.service.Model, q.service.Model.Cards[b.Card], q, b.use) * slow * noise
 }
--- a/role/gateway/fleet.go
+++ b/role/gateway/fleet.go
@@ -246,8 +246,8 @@
 // under another ID. The time doubles with each further stall.
 var stallWait = backoff.Backoff{Base: 3 * time.Second, Max: 12 * time.Second}
 
-// noteStall records at now that the endpoint held requests up.
-func (u *usage) noteStall(now time.Time) {
+// stall records at now that the endpoint held requests up.
+func (u *usage) stall(now time.Time) {
 	u.stalledUntil.Store(now.Add(stallWait.Delay(int(u.stalls.Add(1)), 0)).UnixNano())
 }
 
--- a/role/gateway/gateway.go
+++ b/role/gateway/gateway.go
@@ -128,10 +128,10 @@
 	// announcer keeps the announcement of this gateway in the store.
 	announcer announcer.Announcer
 	// feed is the source of the store's changes, cache holds those that others may ask for.
-	feed      watchcache.Feed
-	cache     watchcache.Cache
-	probes    probe.Prober
-	hallLinks lines.Lines
+	feed   watchcache.Feed
+	cache  watchcache.Cache
+	probes probe.Prober
+	lines  lines.Lines
 
 	// leading is set while this gateway gives orders, hasLeaderKey while the store holds the key of
 	// any leader.
--- a/role/gateway/plain.go
+++ b/role/gateway/plain.go
@@ -82,12 +82,12 @@
 // candidates returns the backends to which a request may go at now.
 func (g *Gateway) candidates(q *query, now time.Time) candidates {
 	var c candidates
-	isolated := g.isolationPlan(q.service.Name, now)
+	isolationPlan := g.isolationPlan(q.service.Name, now)
 	for _, b := range g.fleet.Load().open[q.service.Name] {
 		if q.avoids(b.Address) {
 			continue
 		}
-		hold, passedOver := b.use.intake.Held(now), !q.mayStartAt(b, isolated) || b.use.avoided(now)
+		hold, passedOver := b.use.intake.Held(now), !q.mayStartAt(b, isolationPlan) || b.use.avoided(now)
 		switch {
 		case hold == throttle.Free && passedOver:
 			c.spare = b
@@ -186,10 +186,10 @@
 		g.endedUnder(q, b)
 		return false, "the answer broke off: " + err.Error()
 	}
-	g.quarantine.Survived(q.fingerprint, time.Now())
+	g.quarantine.Survived(q.requestFingerprint, time.Now())
 	if t.answer.Status >= http.StatusInternalServerError {
 		b.use.updateHealth(health.Record.WithFailure)
-		if !last && g.hasTime(q) && g.hasOther(q, b) {
+		if !last && g.timeLeft(q) && g.hasOther(q, b) {
 			q.cause = causeFailed
 			return false, "the endpoint answered " + strconv.Itoa(t.answer.Status)
 		}
@@ -200,8 +200,8 @@
 	return true, ""
 }
 
-// hasTime reports whether there is time for another attempt.
-func (g *Gateway) hasTime(q *query) bool {
+// timeLeft reports whether there is time for another attempt.
+func (g *Gateway) timeLeft(q *query) bool {
 	return q.timeLeft(time.Now()) > 0 && !q.callerLeft()
 }
 
--- a/role/gateway/seat.go
+++ b/role/gateway/seat.go
@@ -30,23 +30,23 @@
 
 // reservation is the room that a request holds along a chain.
 type reservation struct {
-	chain    chain.Chain
-	first    *backend
-	backends []*backend
-	memory   []int64
-	// readingPrompt is set while the endpoints read the prompt.
-	readingPrompt bool
+	chain  chain.Chain
+	first  *backend
+	parts  []*backend
+	memory []int64
+	// reading is set while the endpoints read the prompt.
+	reading bool
 	// released is set once the room has been given back.
 	released bool
 }
 
 // notePromptRead notes that the endpoints have read the prompt.
 func (s *reservation) notePromptRead() {
-	if !s.readingPrompt {
+	if !s.reading {
 		return
 	}
-	s.readingPrompt = false
-	for _, b := range s.backends {
+	s.reading = false
+	for _, b := range s.parts {
 		b.use.reading.Add(-1)
 	}
 }
@@ -59,7 +59,7 @@
 	s.released = true
 	s.notePromptRead()
 	s.first.use.entered.Add(-1)
-	for i, b := range s.backends {
+	for i, b := range s.parts {
 		b.use.release(s.memory[i])
 	}
 }
@@ -67,13 +67,13 @@
 // addWatchdog and removeWatchdog set which watchdog is notified when an endpoint of the chain is
 // lost.
 func (s *reservation) addWatchdog(w *watchdog) {
-	for _, b := range s.backends {
+	for _, b := range s.parts {
 		b.use.watchers.Add(w)
 	}
 }
 
 func (s *reservation) removeWatchdog(w *watchdog) {
-	for _, b := range s.backends {
+	for _, b := range s.parts {
 		b.use.watchers.Remove(w)
 	}
 }
@@ -142,10 +142,10 @@
 	need := q.tokens()
 	c.prepare(q.service.Model, f, g.Hall, g.peerFlow(q.service.Name))
 	c.fleetFactor = q.requestFactor()
-	c.isolated = g.isolationPlan(q.service.Name, time.Now())
+	c.isolationPlan = g.isolationPlan(q.service.Name, time.Now())
 	found, ok := g.findAdmitted(c, q, f, need, skipAvoidedAndFull)
-	if !ok && q.isolatedAt() == "" && !c.isolated.Empty() { // an endpoint at which a suspect is tried is better than none
-		c.isolated = isolation.Plan{}
+	if !ok && q.isolatedAt() == "" && !c.isolationPlan.Empty() { // an endpoint at which a suspect is tried is better than none
+		c.isolationPlan = isolation.Plan{}
 		found, ok = g.findAdmitted(c, q, f, need, skipAvoidedAndFull)
 	}
 	if !ok {
@@ -175,13 +175,13 @@
 
 // findAdmitted finds the cheapest chain whose first endpoint accepts a request now, and counts the
 // request against its limit.
-func (g *Gateway) findAdmitted(c *chooser, q *query, f *fleet, need int, filter candidateFilter) (chain.Chain, bool) {
+func (g *Gateway) findAdmitted(c *chooser, q *query, f *fleet, need int, use candidateFilter) (chain.Chain, bool) {
 	now := time.Now()
 	defer func() { g.noteHeld(q, c.held, now) }()
 	again := q.hasSearched()
 	c.skipLimited = again
 	for range maxHeldPicks {
-		c.collect(q, f, need, filter)
+		c.collect(q, f, need, use)
 		found, ok := g.find(c, q, need)
 		if !ok {
 			return nil, false
@@ -207,7 +207,7 @@
 	}
 	c.hops(hopCostAcrossHalls)
 	found, ok := c.finder.Find(c.holders)
-	return found, ok && g.hallLinks.Allow(q.service.Model, need, g.peers.Size())
+	return found, ok && g.lines.Allow(q.service.Model, need, g.peers.Size())
 }
 
 // reserveMove reserves room along the cheapest chain to which a running request can be moved. The
@@ -219,7 +219,7 @@
 	need := q.tokens()
 	c.prepare(q.service.Model, f, g.Hall, g.peerFlow(q.service.Name))
 	c.fleetFactor = lost.use.fleetFactor()
-	c.isolated = isolation.Plan{} // the first endpoint of the chain stays
+	c.isolationPlan = isolation.Plan{} // the first endpoint of the chain stays
 	c.collect(q, f, need, skipAvoidedAndFull)
 	c.keepChain(old, q, time.Now())
 	found, ok := g.find(c, q, need)
@@ -227,7 +227,7 @@
 		return nil, shortageLayers
 	}
 	return newReservation(found, need, func(p chain.Part) *backend {
-		if b := old.backend(p); b != nil {
+		if b := old.backendOf(p); b != nil {
 			return b // it may have left the fleet, and still runs its requests
 		}
 		return f.byID[p.ID]
@@ -239,8 +239,8 @@
 // one of this gateway.
 func (s *reservation) promptReadTime(q *query, old *reservation, fleetFactor float64) time.Duration {
 	m := q.service.Model
-	parts := make([]reread.Part, 0, len(s.backends))
-	for i, b := range s.backends {
+	parts := make([]reread.Part, 0, len(s.parts))
+	for i, b := range s.parts {
 		if old != nil && old.chain.Uses(b.Address) {
 			continue
 		}
@@ -253,10 +253,10 @@
 	return reread.Time(parts, alone, fleetFactor)
 }
 
-// backend returns the backend of the reservation that a part of a chain names, nil for none.
+// backendOf returns the backend of the reservation that a part of a chain names, nil for none.
 // Another incarnation with the same ID has another address.
-func (s *reservation) backend(p chain.Part) *backend {
-	for _, b := range s.backends {
+func (s *reservation) backendOf(p chain.Part) *backend {
+	for _, b := range s.parts {
 		if b.ID == p.ID && b.Address == p.Address {
 			return b
 		}
@@ -266,15 +266,15 @@
 
 // newReservation reserves room along a chain. backendOf maps its parts to backends.
 func newReservation(found chain.Chain, need int, backendOf func(chain.Part) *backend) *reservation {
-	s := &reservation{chain: found, readingPrompt: true}
+	s := &reservation{chain: found, reading: true}
 	for _, p := range found {
 		b := backendOf(p)
 		memory := int64(need * p.Layers.Len())
 		b.use.take(memory)
 		b.use.reading.Add(1)
-		s.backends, s.memory = append(s.backends, b), append(s.memory, memory)
+		s.parts, s.memory = append(s.parts, b), append(s.memory, memory)
 	}
-	s.first = s.backends[0]
+	s.first = s.parts[0]
 	s.first.use.entered.Add(1)
 	return s
 }
--- a/role/gateway/stream.go
+++ b/role/gateway/stream.go
@@ -64,12 +64,12 @@
 	s := &relay{g: g, q: q, last: q.After, flush: http.NewResponseController(q.w)}
 	reason := ""
 	for s.maySendAgain() {
-		res, short := s.nextReservation()
+		reservation, short := s.reservation()
 		if short != shortageNone {
 			reason = joinReasons(short, reason)
 			break
 		}
-		done, why := s.attempt(res)
+		done, why := s.attempt(reservation)
 		if done {
 			s.dropReserved()
 			return false
@@ -106,7 +106,7 @@
 	}
 	pause.For(s.q.r.Context(), noRoomWait)
 	now := time.Now()
-	return s.q.r.Context().Err() == nil && now.Before(s.queueTerms(now).Until)
+	return s.q.r.Context().Err() == nil && now.Before(s.terms(now).Until)
 }
 
 // joinReasons returns why there is no further attempt, followed by why the last one ended.
@@ -125,10 +125,10 @@
 	}
 }
 
-// nextReservation returns the reservation for which the last attempt was abandoned, or makes one,
+// reservation returns the reservation for which the last attempt was abandoned, or makes one,
 // and takes a retry from the budget when the request may already have reached an endpoint. It waits
 // in the queue for as long as the request may.
-func (s *relay) nextReservation() (*reservation, shortage) {
+func (s *relay) reservation() (*reservation, shortage) {
 	if short := s.g.awaitIsolation(s.q); short != shortageNone {
 		return nil, short
 	}
@@ -136,12 +136,12 @@
 		s.reserved = nil
 		return taken, shortageNone
 	}
-	turn := s.queueTerms(time.Now())
+	terms := s.terms(time.Now())
 	retry := s.q.everReached.Load()
-	if retry && !s.takeRetry(turn.Until) {
+	if retry && !s.takeRetry(terms.Until) {
 		return nil, shortageBudget
 	}
-	taken, short := s.g.reserveQueued(s.q, turn)
+	taken, short := s.g.reserveQueued(s.q, terms)
 	if short == shortageNone {
 		if short = s.g.withheld(s.q); short != shortageNone { // quarantined while it waited in the queue
 			taken.release()
@@ -184,54 +184,54 @@
 
 // attempt sends the request along a chain and passes the events on. It reports whether the request
 // has ended, or else why not.
-func (s *relay) attempt(res *reservation) (bool, string) {
+func (s *relay) attempt(reservation *reservation) (bool, string) {
 	q, g := s.q, s.g
-	q.noteUsed(res.chain.String())
+	q.noteUsed(reservation.chain.String())
 	ctx, cancel := context.WithDeadlineCause(q.r.Context(), q.deadline, context.DeadlineExceeded)
 	defer cancel()
-	w := newWatchdog(ctx, s, res, cancel)
+	w := newWatchdog(ctx, s, reservation, cancel)
 	defer func() { s.reserved = w.stop() }()
 	s.sentAt = time.Now()
-	t := g.send(ctx, q, res.first, res.chain, s.last)
+	t := g.send(ctx, q, reservation.first, reservation.chain, s.last)
 	if t.answer != nil {
 		defer t.answer.Close()
 	}
 	switch t.verdict {
 	case verdictNotRun:
 		q.cause = causeNotRun
-		s.noteRefusal(res, t)
+		s.noteRefusal(reservation, t)
 		return false, notRunReason(t)
 	case verdictLost, verdictEnded:
 		q.cause = causeLost
-		q.ran = append(q.ran, res.first)
+		q.ran = append(q.ran, reservation.first)
 		if t.verdict == verdictLost {
-			g.verify(q.r.Context(), res.first)
+			g.verify(q.r.Context(), reservation.first)
 		}
-		s.noteLoss(res.first)
-		q.avoid(res.first.Address)
+		s.noteLoss(reservation.first)
+		q.avoid(reservation.first.Address)
 		return false, t.err.Error()
 	}
-	q.ran = append(q.ran, res.first)
+	q.ran = append(q.ran, reservation.first)
 	if t.answer.Status != http.StatusOK {
-		return s.passWhole(t, res)
+		return s.passWhole(t, reservation)
 	}
-	return s.events(t, res, w)
+	return s.events(t, reservation, w)
 }
 
 // noteRefusal records which endpoint of a chain refused.
-func (s *relay) noteRefusal(res *reservation, t attempt) {
-	address := res.first.Address
+func (s *relay) noteRefusal(reservation *reservation, t attempt) {
+	address := reservation.first.Address
 	if t.answer != nil && t.reply.Blamed != "" {
 		address = t.reply.Blamed
 	}
 	s.q.avoid(address)
 	if b := s.g.fleet.Load().byAddress[address]; b != nil {
 		b.use.noRoomUntil.Store(time.Now().Add(noRoomWait).UnixNano())
-		if address != res.first.Address {
+		if address != reservation.first.Address {
 			s.g.checkRefused(b, t.answer != nil && t.answer.Status == http.StatusMisdirectedRequest, s.sentAt)
 		}
 	}
-	s.g.Log.Info().Str("request", s.q.ID).Str("first", res.first.Address).Str("blamed", address).
+	s.g.Log.Info().Str("request", s.q.ID).Str("first", reservation.first.Address).Str("blamed", address).
 		Str("reason", notRunReason(t)).Msg("chain refused the request")
 }
 
@@ -245,11 +245,11 @@
 }
 
 // passWhole passes on an answer that is not a stream.
-func (s *relay) passWhole(t attempt, res *reservation) (bool, string) {
+func (s *relay) passWhole(t attempt, reservation *reservation) (bool, string) {
 	body, err := t.answer.ReadAll()
 	if err != nil || s.headSent || t.answer.Status >= http.StatusInternalServerError && s.q.route.Repeats() {
-		res.first.use.updateHealth(health.Record.WithFailure)
-		s.q.avoid(res.first.Address)
+		reservation.first.use.updateHealth(health.Record.WithFailure)
+		s.q.avoid(reservation.first.Address)
 		s.q.cause = causeFailed
 		return false, "the endpoint answered " + strconv.Itoa(t.answer.Status)
 	}
@@ -259,16 +259,16 @@
 
 // events passes events on until the stream ends or breaks. It reports whether the request has
 // ended, or else why not.
-func (s *relay) events(t attempt, res *reservation, w *watchdog) (bool, string) {
+func (s *relay) events(t attempt, reservation *reservation, w *watchdog) (bool, string) {
 	reader := event.Reader{Source: bufio.NewReaderSize(t.answer, eventBuffer), Max: maxEvent}
 	for {
 		e, err := reader.Next()
 		if errors.Is(err, io.EOF) {
-			res.first.use.updateHealth(health.Record.WithSuccess)
+			reservation.first.use.updateHealth(health.Record.WithSuccess)
 			return true, s.finish(t)
 		}
 		if err != nil {
-			return false, s.broken(res, w, err)
+			return false, s.broken(reservation, w, err)
 		}
 		w.noteEvent()
 		if err := s.pass(t, e, reader.Source.Buffered() == 0); err != nil {
@@ -320,25 +320,25 @@
 	}
 	_ = s.flush.SetWriteDeadline(time.Time{}) // the next answer sets its own
 	s.q.setOutcome(t.answer.Status, outcomeServed, "")
-	s.g.quarantine.Survived(s.q.fingerprint, time.Now())
+	s.g.quarantine.Survived(s.q.requestFingerprint, time.Now())
 	s.g.queue.Times.NoteWhole(s.q.service.Name, time.Since(s.sentAt))
 	return ""
 }
 
 // broken records that a chain broke and returns why.
-func (s *relay) broken(res *reservation, w *watchdog, err error) string {
+func (s *relay) broken(reservation *reservation, w *watchdog, err error) string {
 	q := s.q
 	if q.r.Context().Err() != nil {
 		return "the caller left"
 	}
 	stalled := w.gaveUp()
-	q.avoid(res.first.Address)
-	res.first.use.updateHealth(health.Record.WithFailure)
-	s.g.verify(q.r.Context(), res.first)
-	s.noteLoss(res.first)
+	q.avoid(reservation.first.Address)
+	reservation.first.use.updateHealth(health.Record.WithFailure)
+	s.g.verify(q.r.Context(), reservation.first)
+	s.noteLoss(reservation.first)
 	q.resumed++
 	q.cause = causeBroken
-	s.g.Log.Info().Str("request", q.ID).Stringer("chain", res.chain).Bool("stalled", stalled).Err(err).
+	s.g.Log.Info().Str("request", q.ID).Stringer("chain", reservation.chain).Bool("stalled", stalled).Err(err).
 		Int("events", q.events).Str("last", s.last).Msg("chain broke")
 	return "the chain broke: " + err.Error()
 }
--- a/role/gateway/suspect.go
+++ b/role/gateway/suspect.go
@@ -293,7 +293,7 @@
 		if b == nil || b.use.presumedDead(now) {
 			continue
 		}
-		b.use.noteStall(now)
+		b.use.stall(now)
 		g.Log.Info().Str("endpoint", b.ID).Str("address", b.Address).Str("request", stall.Request).
 			Msg("endpoint holds requests up")
 		g.announceLoss(b)
--- a/role/gateway/watchdog.go
+++ b/role/gateway/watchdog.go
@@ -98,7 +98,7 @@
 	}
 	w.last = now
 	w.reservation.notePromptRead()
-	for _, b := range w.reservation.backends {
+	for _, b := range w.reservation.parts {
 		b.use.eventAt.Store(now.UnixNano())
 	}
 	w.timer.Reset(w.gaps.Value())
@@ -117,8 +117,8 @@
 	return w.relay.q.reached.Load() && (w.first.IsZero() || now.Sub(w.first) < startWindow)
 }
 
-// isolatedAt reports whether the request is a suspect and tried at the endpoint.
-func (w *watchdog) isolatedAt(endpoint string) bool {
+// runsIsolated reports whether the request is a suspect and tried at the endpoint.
+func (w *watchdog) runsIsolated(endpoint string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.movedWhileSuspect || w.relay.q.isolatedAt() == endpoint
@@ -157,7 +157,7 @@
 // check runs when an event is overdue or an endpoint of the chain has been lost.
 func (w *watchdog) check() {
 	w.mu.Lock()
-	last, res := w.last, w.reservation
+	last, reservation := w.last, w.reservation
 	if w.ended || w.ctx.Err() != nil {
 		w.mu.Unlock()
 		return
@@ -170,7 +170,7 @@
 	w.checking = true
 	w.mu.Unlock()
 
-	if (w.waitedEnough(res, last) || !w.repair(res)) && w.abandon(res) {
+	if (w.waitedEnough(reservation, last) || !w.repair(reservation)) && w.abandon(reservation) {
 		return
 	}
 	w.mu.Lock()
@@ -194,9 +194,9 @@
 const workingEventAge = 400 * time.Millisecond
 
 // waitedEnough reports whether the attempt has waited long enough for an event.
-func (w *watchdog) waitedEnough(res *reservation, last time.Time) bool {
+func (w *watchdog) waitedEnough(reservation *reservation, last time.Time) bool {
 	q, now := w.relay.q, time.Now()
-	if !q.route.Repeats() || now.UnixNano()-res.first.use.eventAt.Load() < int64(workingEventAge) {
+	if !q.route.Repeats() || now.UnixNano()-reservation.first.use.eventAt.Load() < int64(workingEventAge) {
 		return false
 	}
 	if last.IsZero() {
@@ -222,8 +222,8 @@
 		return false
 	}
 	q := w.relay.q
-	wait, spare := moved.promptReadTime(q, old, lost.use.fleetFactor()), w.timeLeft(time.Now())
-	if !reread.Leave(wait, 0, spare) {
+	wait, slack := moved.promptReadTime(q, old, lost.use.fleetFactor()), w.slack(time.Now())
+	if !reread.Leave(wait, 0, slack) {
 		return false
 	}
 	q.everReached.Store(true) // so that the new attempt is charged to the retry budget
@@ -231,7 +231,7 @@
 	if short != shortageNone {
 		return false
 	}
-	if !reread.Leave(wait, next.promptReadTime(q, nil, 1), spare) || !w.abandonFor(next) {
+	if !reread.Leave(wait, next.promptReadTime(q, nil, 1), slack) || !w.abandonFor(next) {
 		next.release()
 		w.relay.g.retries.Return(q.service.Name)
 		return false
@@ -241,8 +241,8 @@
 	return true
 }
 
-// timeLeft returns how long the next event may still take without being late.
-func (w *watchdog) timeLeft(now time.Time) time.Duration {
+// slack returns how long the next event may still take without being late.
+func (w *watchdog) slack(now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.last.IsZero() {
@@ -267,22 +267,22 @@
 // abandon ends the attempt if the request can be sent along another chain at once, and reports
 // whether it did. Otherwise the attempt goes on: the event may still arrive in time, and without
 // another chain nothing is gained by ending it.
-func (w *watchdog) abandon(res *reservation) bool {
+func (w *watchdog) abandon(reservation *reservation) bool {
 	if w.final || !w.relay.g.maySend(w.relay.q) {
 		return false
 	}
 	q := w.relay.q
 	if w.relay.g.suspected(q) { // it waits for an isolated attempt
 		q.everReached.Store(true)
-		return res.first.use.down() && w.abandonFor(nil)
+		return reservation.first.use.down() && w.abandonFor(nil)
 	}
 	q.everReached.Store(true)
-	q.avoid(res.first.Address)
+	q.avoid(reservation.first.Address)
 	next, short := w.relay.g.reserveAttempt(q, causeAbandoned)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if short != w.lastShortage || short == shortageNone {
-		w.relay.g.Log.Info().Str("request", q.ID).Str("first", res.first.Address).Bool("down", res.first.use.down()).
+		w.relay.g.Log.Info().Str("request", q.ID).Str("first", reservation.first.Address).Bool("down", reservation.first.use.down()).
 			Str("shortage", string(short)).Msg("whether a try is left for another")
 	}
 	w.lastShortage = short
@@ -301,19 +301,19 @@
 // repair moves the request away from a lost endpoint of its chain, or has the endpoints checked
 // when none is known to be lost. It returns false when the attempt is lost: the first endpoint does
 // not answer, or there is no other chain.
-func (w *watchdog) repair(res *reservation) bool {
+func (w *watchdog) repair(reservation *reservation) bool {
 	now := time.Now()
-	if res.first.use.down() {
+	if reservation.first.use.down() {
 		w.releaseReservation()
 		return false
 	}
-	for _, b := range res.backends[1:] {
+	for _, b := range reservation.parts[1:] {
 		if b.use.presumedDead(now) {
-			return w.move(res, b)
+			return w.move(reservation, b)
 		}
 	}
-	w.relay.g.checkIfUncertain(res.first, now)
-	for _, b := range res.backends[1:] {
+	w.relay.g.checkIfUncertain(reservation.first, now)
+	for _, b := range reservation.parts[1:] {
 		w.relay.g.checkBehind(b, now)
 	}
 	return true
@@ -321,15 +321,15 @@
 
 // move moves the request to a chain without a lost endpoint. It returns false when there is none,
 // or the request cannot be moved.
-func (w *watchdog) move(res *reservation, lost *backend) bool {
+func (w *watchdog) move(reservation *reservation, lost *backend) bool {
 	g, q, address := w.relay.g, w.relay.q, lost.Address
 	if !g.maySend(q) {
 		return false // it would crash another endpoint
 	}
 	q.avoid(address)
 	for range maxMoves {
-		next, short := g.reserveMove(q, res, lost)
-		if short == shortageNone && w.switchIfFaster(res, next, lost) {
+		next, short := g.reserveMove(q, reservation, lost)
+		if short == shortageNone && w.switchIfFaster(reservation, next, lost) {
 			next.release() // the attempt ends
 			return true
 		}
