--- a/role/gateway/handler.go
+++ b/role/gateway/handler.go
@@ -88,7 +88,7 @@
 	if !g.authorize(q, c) || !g.readBody(q, c.Limits) {
 		return false
 	}
-	q.requestFingerprint = fingerprint.Of(fingerprint.Request{
+	q.print = fingerprint.Of(fingerprint.Request{
 		Method: q.r.Method, Host: q.r.Host, Target: q.r.RequestURI, Team: q.team, Body: q.body,
 	})
 	q.deadline = q.start.Add(requestTimeout(q.Patience, route.Timeout))
@@ -107,7 +107,7 @@
 	g.retries.First(q.service.Name, time.Now())
 	// A request under which three endpoints have ended would crash every endpoint that runs it: in
 	// a fleet of 33, such requests ended endpoints 57 times in 90 s.
-	if left := g.quarantine.Left(q.requestFingerprint, q.start); left > 0 {
+	if left := g.quarantine.Left(q.print, q.start); left > 0 {
 		g.refuse(q, left, string(shortageQuarantine))
 		return false
 	}
@@ -209,8 +209,8 @@
 	switch {
 	case q.callerLeft():
 		q.setOutcome(0, outcomeLeft, reason)
-	case !q.mayHaveRun && g.quarantine.Left(q.requestFingerprint, time.Now()) > 0:
-		g.refuse(q, g.quarantine.Left(q.requestFingerprint, time.Now()), reason)
+	case !q.mayHaveRun && g.quarantine.Left(q.print, time.Now()) > 0:
+		g.refuse(q, g.quarantine.Left(q.print, time.Now()), reason)
 	case !q.mayHaveRun:
 		g.refuse(q, g.retryAfter(q, time.Now()), reason)
 	case q.timeLeft(time.Now()) <= 0:
@@ -257,8 +257,8 @@
 		Int("status", q.status).Str("reason", q.reason).Strs("used", q.used).Int("sends", q.sends).Int("runs", len(q.ran)).
 		Dur("first_ms", first).Dur("total_ms", now.Sub(q.start)).
 		Uint64("version", q.version).Dur("proof_age_ms", q.proofAge)
-	if q.requestFingerprint != 0 {
-		line = line.Stringer("print", q.requestFingerprint)
+	if q.print != 0 {
+		line = line.Stringer("print", q.print)
 	}
 	if q.last != nil { // the record by which this gateway chose the endpoint
 		line = line.Str("endpoint", q.last.ID).Uint64("record_revision", q.last.Revision).
--- a/role/gateway/isolation.go
+++ b/role/gateway/isolation.go
@@ -23,7 +23,7 @@
 // suspected reports whether endpoints have ended under a request so often that it is tried isolated
 // from all other such requests.
 func (g *Gateway) suspected(q *query) bool {
-	return g.quarantine.Suspected(q.requestFingerprint, time.Now())
+	return g.quarantine.Suspected(q.print, time.Now())
 }
 
 // isolationPlan returns at which endpoints of a service suspects are tried at now.
@@ -57,13 +57,13 @@
 			return shortageQuarantine
 		}
 		now := time.Now()
-		if !g.quarantine.Suspected(q.requestFingerprint, now) {
+		if !g.quarantine.Suspected(q.print, now) {
 			return shortageNone
 		}
-		g.quarantine.Arrived(q.requestFingerprint, now)
-		if endpoint, free := g.isolationPlan(q.service.Name, now).Of(q.requestFingerprint); q.isolationWaited && free {
+		g.quarantine.Arrived(q.print, now)
+		if endpoint, free := g.isolationPlan(q.service.Name, now).Of(q.print); q.isolationWaited && free {
 			q.isolateAt(endpoint)
-			g.Log.Info().Str("request", q.ID).Stringer("print", q.requestFingerprint).Str("endpoint", endpoint).
+			g.Log.Info().Str("request", q.ID).Stringer("print", q.print).Str("endpoint", endpoint).
 				Msg("request is tried apart from others under which endpoints have ended")
 			return shortageNone
 		}
--- a/role/gateway/quarantine.go
+++ b/role/gateway/quarantine.go
@@ -50,7 +50,7 @@
 	}
 	g.verify(q.r.Context(), b)
 	if b.use.ended.Load() {
-		g.quarantine.Report(b.incarnation(), []suspects.Begun{{Print: q.requestFingerprint, Tried: q.isolatedAt() == b.ID}}, time.Now())
+		g.quarantine.Report(b.incarnation(), []suspects.Begun{{Print: q.print, Tried: q.isolatedAt() == b.ID}}, time.Now())
 	}
 }
 
@@ -80,5 +80,5 @@
 
 // maySend reports whether a request may be sent to an endpoint: it is not in quarantine.
 func (g *Gateway) maySend(q *query) bool {
-	return g.quarantine.Left(q.requestFingerprint, time.Now()) == 0
+	return g.quarantine.Left(q.print, time.Now()) == 0
 }
--- a/role/gateway/query.go
+++ b/role/gateway/query.go
@@ -26,8 +26,8 @@
 	priority int
 	body     []byte
 	hasBody  bool
-	// requestFingerprint identifies the request when it is sent again under another ID.
-	requestFingerprint fingerprint.Fingerprint
+	// print identifies the request when it is sent again under another ID.
+	print fingerprint.Fingerprint
 	// version is the version of the configuration that admitted the request.
 	version uint64
 	// proofAge was the age of the freshness proof of that configuration.
--- a/role/gateway/stream.go
+++ b/role/gateway/stream.go
@@ -270,7 +270,7 @@
 		if err != nil {
 			return false, s.broken(reservation, w, err)
 		}
-		w.noteEvent()
+		w.event()
 		if err := s.pass(t, e, reader.Source.Buffered() == 0); err != nil {
 			s.q.setOutcome(s.q.status, outcomeLeft, err.Error())
 			return true, ""
@@ -320,7 +320,7 @@
 	}
 	_ = s.flush.SetWriteDeadline(time.Time{}) // the next answer sets its own
 	s.q.setOutcome(t.answer.Status, outcomeServed, "")
-	s.g.quarantine.Survived(s.q.requestFingerprint, time.Now())
+	s.g.quarantine.Survived(s.q.print, time.Now())
 	s.g.queue.Times.NoteWhole(s.q.service.Name, time.Since(s.sentAt))
 	return ""
 }
--- a/role/gateway/watchdog.go
+++ b/role/gateway/watchdog.go
@@ -85,8 +85,8 @@
 	return time.Duration(share * float64(d))
 }
 
-// noteEvent records that an event has arrived.
-func (w *watchdog) noteEvent() {
+// event records that an event has arrived.
+func (w *watchdog) event() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
