--- a/role/gateway/admission.go
+++ b/role/gateway/admission.go
@@ -20,22 +20,22 @@
 
 // reserveQueued waits in the queue for a reservation. A request that would have to wait for longer
 // than it may is refused at once, and so is a new one when no chain holds all layers.
-func (g *Gateway) reserveQueued(q *query, turn admission.Turn) (*reservation, shortage) {
+func (g *Gateway) reserveQueued(q *query, terms admission.Turn) (*reservation, shortage) {
 	r := q.waiting()
 	if !r.Begun {
 		q.ahead = g.queue.Waiting()
 		defer func(since time.Time) { q.waited = time.Since(since) }(time.Now())
 	}
 	found := shortageRoom
-	taken, report := g.queue.Enter(q.r.Context(), r, turn, func() (*reservation, gate.Answer) {
+	taken, report := g.queue.Enter(q.r.Context(), r, terms, func() (*reservation, gate.Answer) {
 		taken, short := g.reserve(q)
 		found = short
 		switch {
 		case short == shortageNone:
 			return taken, gate.Granted
-		case short == shortageLayers && turn.Urgency == urgency.New:
+		case short == shortageLayers && terms.Urgency == urgency.New:
 			return nil, gate.Never
-		case short == shortageHeld && q.availableFrom(time.Now()).After(turn.Until): // the refusal carries a Retry-After delay
+		case short == shortageHeld && q.availableFrom(time.Now()).After(terms.Until): // the refusal carries a Retry-After delay
 			return nil, gate.Never
 		}
 		return nil, gate.Full
--- a/role/gateway/chooser.go
+++ b/role/gateway/chooser.go
@@ -208,7 +208,7 @@
 	if order := b.use.orderedLayers(now); !order.Empty() {
 		layers = layers.Intersect(order)
 	}
-	if held, odd := b.misheld(now); odd {
+	if held, differs := b.reportedLayers(now); differs {
 		layers = layers.Intersect(held)
 	}
 	return layers
--- a/role/gateway/digest.go
+++ b/role/gateway/digest.go
@@ -39,7 +39,7 @@
 			checked = max(checked, b.use.othersCheckedAt.Load())
 		}
 		use := b.use.digestEntry(now, others[id], checked)
-		if held, odd := b.misheld(now); odd && use.GetCheckedMillis() > 0 {
+		if held, differs := b.reportedLayers(now); differs && use.GetCheckedMillis() > 0 {
 			use.Misheld, use.HeldFirst, use.HeldEnd = true, uint32(held.First), uint32(held.End)
 		}
 		if d.GetLeading() {
@@ -125,7 +125,7 @@
 			b.use.noteOthersCheck(at)
 			b.use.pace.Set(float64(use.GetPace())/pace.Unit, at)
 			if use.GetMisheld() {
-				b.noteHeld(layer.Range{First: int(use.GetHeldFirst()), End: int(use.GetHeldEnd())}, at)
+				b.noteLayers(layer.Range{First: int(use.GetHeldFirst()), End: int(use.GetHeldEnd())}, at)
 			}
 		}
 		g.throttling.HearOthers(b.ID, &b.use.intake, use, d.GetMembers() > 0, now)
--- a/role/gateway/holding.go
+++ b/role/gateway/holding.go
@@ -7,8 +7,8 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// noteHeld records the layers that the endpoint reported at a time.
-func (b *backend) noteHeld(held layer.Range, at time.Time) {
+// noteLayers records the layers that the endpoint reported at a time.
+func (b *backend) noteLayers(held layer.Range, at time.Time) {
 	if held == b.Layers {
 		b.use.holding.Store(nil)
 		return
@@ -16,8 +16,9 @@
 	b.use.holding.Store(&holding.Holding{Held: held, Recorded: b.Layers, At: at})
 }
 
-// misheld returns the layers that the endpoint reported, and whether they count beside its record.
-func (b *backend) misheld(now time.Time) (layer.Range, bool) {
+// reportedLayers returns the layers that the endpoint reported, and whether they count beside its
+// record.
+func (b *backend) reportedLayers(now time.Time) (layer.Range, bool) {
 	h := b.use.holding.Load()
 	if h == nil || !h.Counts(b.Layers, now, recordLag) {
 		return layer.Range{}, false
--- a/role/gateway/quarantine.go
+++ b/role/gateway/quarantine.go
@@ -13,7 +13,7 @@
 func (g *Gateway) initQuarantine() {
 	g.quarantine = quarantine.Quarantine{
 		Self: g.Name, Keepers: func(key string) []overlay.Member { return g.gossip.Overlay().Keepers(key) },
-		Tell: g.gossip.TellEnds, News: g.gossip.News, Over: g.over, Store: g.Store, Count: g.Meter.Quarantine, Log: g.Log,
+		Tell: g.gossip.TellEnds, News: g.gossip.News, Over: g.incarnationOver, Store: g.Store, Count: g.Meter.Quarantine, Log: g.Log,
 	}
 	g.quarantine.Init()
 }
@@ -54,9 +54,9 @@
 	}
 }
 
-// over reports whether an incarnation has certainly ended: its record is gone or names another
+// incarnationOver reports whether an incarnation has certainly ended: its record is gone or names another
 // incarnation, or the endpoint does not answer. Otherwise the endpoint is checked.
-func (g *Gateway) over(l suspects.Life) bool {
+func (g *Gateway) incarnationOver(l suspects.Life) bool {
 	b := g.fleet.Load().byID[l.Endpoint]
 	if b == nil || b.Born != 0 && l.Born != 0 && b.Born != l.Born || b.use.presumedDead(time.Now()) || b.use.ended.Load() {
 		return true
--- a/role/gateway/survey.go
+++ b/role/gateway/survey.go
@@ -50,7 +50,7 @@
 	}
 	g.noteAnswer(b, begun, time.Now())
 	b.use.pace.Set(report.Pace, begun)
-	b.noteHeld(report.Layers, begun)
+	b.noteLayers(report.Layers, begun)
 	g.Log.Debug().Str("endpoint", b.ID).Stringer("layers", report.Layers).Int("used", report.Used).
 		Int("total", report.Total).Int("active", report.Active).Int("queued", report.Queued).
 		Float64("pace", report.Pace).Int64("own_held", b.use.held.Load()).
--- a/role/gateway/suspect.go
+++ b/role/gateway/suspect.go
@@ -192,7 +192,7 @@
 	g.noteAnswer(b, begun, now)
 	if err == nil {
 		b.use.pace.Set(report.Pace, begun)
-		b.noteHeld(report.Layers, begun)
+		b.noteLayers(report.Layers, begun)
 		g.noteStalls(report)
 	}
 	return true
@@ -378,7 +378,7 @@
 	b.use.begun.Store(nil)
 	g.Meter.Check(checkRevived)
 	if err == nil {
-		b.noteHeld(report.Layers, time.Now())
+		b.noteLayers(report.Layers, time.Now())
 	}
 	b.use.downSince.Store(0)
 	b.use.ended.Store(false)
