--- a/role/gateway/admission.go
+++ b/role/gateway/admission.go
@@ -9,33 +9,33 @@
 	"github.com/grademill/grademill/role/gate"
 )
 
-// waiting returns the request as the line sees it.
+// waiting returns the request in the form that the queue needs.
 func (q *query) waiting() admission.Request {
 	return admission.Request{
 		Service: q.service.Name, Team: q.team, Priority: maxPriority - q.priority,
 		Route: q.route.Timeout, Patience: q.Patience, Objective: objective(q.route),
-		Start: q.start, Deadline: q.deadline, Returned: q.returned, Begun: q.arrived.Load(),
+		Start: q.start, Deadline: q.deadline, Returned: q.returned, Begun: q.everReached.Load(),
 	}
 }
 
-// takeTurn waits in line for a seat. A request that would wait for longer than it may is
-// turned away at once, and so is a new one when no chain holds all layers.
-func (g *Gateway) takeTurn(q *query, turn admission.Turn) (*seat, shortage) {
+// reserveQueued waits in the queue for a reservation. A request that would have to wait for longer
+// than it may is refused at once, and so is a new one when no chain holds all layers.
+func (g *Gateway) reserveQueued(q *query, terms admission.Turn) (*reservation, shortage) {
 	r := q.waiting()
 	if !r.Begun {
-		q.ahead = g.line.Waiting()
+		q.ahead = g.queue.Waiting()
 		defer func(since time.Time) { q.waited = time.Since(since) }(time.Now())
 	}
 	found := shortageRoom
-	taken, report := g.line.Enter(q.r.Context(), r, turn, func() (*seat, gate.Answer) {
-		taken, short := g.takeSeat(q)
+	taken, report := g.queue.Enter(q.r.Context(), r, terms, func() (*reservation, gate.Answer) {
+		taken, short := g.reserve(q)
 		found = short
 		switch {
 		case short == shortageNone:
 			return taken, gate.Granted
-		case short == shortageLayers && turn.Urgency == urgency.New:
+		case short == shortageLayers && terms.Urgency == urgency.New:
 			return nil, gate.Never
-		case short == shortageHeld && q.takenFrom(time.Now()).After(turn.Until): // its caller is told when
+		case short == shortageHeld && q.availableFrom(time.Now()).After(terms.Until): // the refusal carries a Retry-After delay
 			return nil, gate.Never
 		}
 		return nil, gate.Full
@@ -49,12 +49,12 @@
 	return nil, found
 }
 
-// turn returns how the request waits for a seat at now: one whose caller has events for as
-// long as it bears a pause.
-func (s *relay) turn(now time.Time) admission.Turn {
-	turn := s.g.line.Turn(s.q.waiting(), now)
+// terms returns how the request waits for a reservation at now: one whose caller already has
+// events waits for as long as the caller accepts a pause.
+func (s *relay) terms(now time.Time) admission.Turn {
+	terms := s.g.queue.Turn(s.q.waiting(), now)
 	if s.headSent {
-		turn.Until = s.lastAt.Add(pauseWait * allowedPause(s.q.route))
+		terms.Until = s.lastAt.Add(pauseWaitFactor * allowedPause(s.q.route))
 	}
-	return turn
+	return terms
 }
--- a/role/gateway/leader.go
+++ b/role/gateway/leader.go
@@ -18,29 +18,29 @@
 // leaderKey holds the name of the gateway that gives orders, under a lease.
 const leaderKey = "grademill/giver"
 
-// The figures of giving orders.
+// Timing and bounds of leadership and orders.
 const (
-	// leaderLease is how long the right to give orders lasts without renewal: a hall that
-	// loses a card meanwhile stands without a chain. The store grants no less than one
-	// second, and answers within 0.3 s also when it is slow.
+	// leaderLease is how long the right to give orders lasts without renewal: a hall that loses a
+	// card meanwhile has no chain. The store grants no less than one second, and answers within 0.3
+	// s even when it is slow.
 	leaderLease = 1500 * time.Millisecond
-	// leaderTurnWait is how long a gateway leaves the right to each one whose turn is
-	// before its own, for leaderTurns of them at most: each try is two calls of the
-	// store, and a digest tells of a new holder at once.
-	leaderTurnWait = 150 * time.Millisecond
-	leaderTurns    = 8
-	// leaderSettle is how long the store must have been read before a gateway takes the
-	// right: at the start of a fleet the others are known only by the next changes.
+	// takeoverStagger is how long a gateway waits for each gateway that ranks before it to take the
+	// right, for maxTakeoverRank gateways at most: taking it is two calls of the store, and a
+	// digest announces a new holder at once.
+	takeoverStagger = 150 * time.Millisecond
+	maxTakeoverRank = 8
+	// leaderSettle is how long the store must have been read before a gateway takes the right: when
+	// a fleet starts, the other gateways become known only with the next changes.
 	leaderSettle = changesSettle + 150*time.Millisecond
 	// leaderRound is the time between two rounds of orders.
 	leaderRound = 250 * time.Millisecond
 	// renewEvery is the time between two renewals of the lease.
 	renewEvery = 500 * time.Millisecond
-	// gatherTime is how long the fleet must stay the same before a first plan:
-	// all endpoints of a new system announce themselves within a second or two.
-	gatherTime = 1200 * time.Millisecond
-	// ordersAtOnce is the number of orders that are given at the same time: a
-	// fleet of thousands is to hold its layers before callers come.
+	// stableTime is how long the size of the fleet must stay the same before the first plan: all
+	// endpoints of a new system announce themselves within a second or two.
+	stableTime = 1200 * time.Millisecond
+	// ordersAtOnce bounds the orders that are given concurrently: a fleet of thousands is to hold
+	// its layers before callers arrive.
 	ordersAtOnce = 32
 )
 
@@ -50,27 +50,26 @@
 	// fence is the revision at which the right was taken.
 	fence uint64
 	lease string
-	// size and changed are the size of the fleet and when it last changed.
+	// size is the size of the fleet, changed when it last changed.
 	size    int
 	changed time.Time
 }
 
-// ordered is an order that an endpoint carries out. All gateways know of it, so that
-// one that takes the right over goes on from there.
-type ordered struct {
+// pendingOrder is an order that an endpoint carries out. All gateways know of it, so that the next
+// leader continues from there.
+type pendingOrder struct {
 	layers layer.Range
-	// until is when it counts as lost.
+	// until is when the order counts as lost.
 	until time.Time
 }
 
-// lead takes the right to give orders whenever nobody holds it, and uses it
-// until ctx ends.
+// lead takes the right to give orders whenever nobody holds it, and uses it until ctx ends.
 func (g *Gateway) lead(ctx context.Context) {
 	var vacant time.Time
 	for ctx.Err() == nil {
 		pause.For(ctx, time.Duration(float64(leaderRound)*(1+rand.Float64())))
 		now := time.Now()
-		if !g.loaded.Load() || g.draining.Load() || g.catalog.Load() == nil || g.led.Load() {
+		if !g.loaded.Load() || g.draining.Load() || g.catalog.Load() == nil || g.hasLeaderKey.Load() {
 			vacant = time.Time{}
 			continue
 		}
@@ -78,35 +77,36 @@
 			vacant = now
 		}
 		read := time.Duration(now.UnixNano() - g.currentSince.Load())
-		if now.Sub(vacant) < g.leaderTurn(now) || read < leaderSettle {
+		if now.Sub(vacant) < g.takeoverDelay(now) || read < leaderSettle {
 			continue
 		}
 		holder := leader{g: g}
-		if err := holder.take(ctx); err != nil {
+		if err := holder.acquire(ctx); err != nil {
 			var held *kv.ConflictError
 			if !errors.As(err, &held) {
-				g.Log.Warn().Err(err).Msg("the right to give orders was not taken")
+				g.Log.Warn().Err(err).Msg("the right to give orders could not be taken")
 			}
 			pause.For(ctx, renewEvery)
 			continue
 		}
 		holder.hold(ctx)
-		_ = g.Store.Revoke(context.WithoutCancel(ctx), holder.lease) // it lapses otherwise
+		_ = g.Store.Revoke(context.WithoutCancel(ctx), holder.lease) // the lease lapses otherwise
 	}
 }
 
-// leaderTurn returns how long this gateway leaves the right to others after the store has
-// said that nobody holds it: longer while one of them says that it does.
-func (g *Gateway) leaderTurn(now time.Time) time.Duration {
-	turn := min(g.gossip.Overlay().Turn(leaderKey), leaderTurns)
-	if g.directed(now) {
-		turn = leaderTurns
+// takeoverDelay returns how long this gateway waits for others to take the right after the store
+// has said that nobody holds it. It waits longer while another gateway reports that it holds the
+// right.
+func (g *Gateway) takeoverDelay(now time.Time) time.Duration {
+	rank := min(g.gossip.Overlay().Turn(leaderKey), maxTakeoverRank)
+	if g.leaderHeard(now) {
+		rank = maxTakeoverRank
 	}
-	return time.Duration(turn) * leaderTurnWait
+	return time.Duration(rank) * takeoverStagger
 }
 
-// take takes the right.
-func (o *leader) take(ctx context.Context) error {
+// acquire takes the right to give orders.
+func (o *leader) acquire(ctx context.Context) error {
 	lease, err := o.g.Store.Grant(ctx, leaderLease)
 	if err != nil {
 		return err
@@ -139,8 +139,7 @@
 	}
 }
 
-// round gives one round of orders. It returns false when another leader has taken
-// over.
+// round gives one round of orders. It returns false when another leader has taken over.
 func (o *leader) round(ctx context.Context) bool {
 	f, c := o.g.fleet.Load(), o.g.catalog.Load()
 	now := time.Now()
@@ -154,9 +153,9 @@
 		cards := o.cards(service.Model, f.open[name], now)
 		if holdsAny(cards) {
 			if now.UnixNano()-o.g.currentSince.Load() < int64(lapseGrace) {
-				continue // records that lapsed with the store come back
+				continue // records that lapsed during the outage are written again
 			}
-		} else if now.Sub(o.changed) < gatherTime {
+		} else if now.Sub(o.changed) < stableTime {
 			continue
 		}
 		moves := (spread.Planner{}).Plan(service.Model, cards)
@@ -172,22 +171,22 @@
 	return slices.ContainsFunc(cards, func(c spread.Card) bool { return !c.Holds.Empty() })
 }
 
-// orders gives the orders of a plan, several at the same time. It returns false
-// when another leader has taken over.
+// orders gives the orders of a plan, several concurrently. It returns false when another leader has
+// taken over.
 func (o *leader) orders(ctx context.Context, f *fleet, moves []spread.Move, now time.Time) bool {
 	for _, m := range moves {
 		f.byID[m.ID].use.setOrdered(m.Layers, now)
 	}
 	if len(moves) > 0 {
-		o.g.gossip.News() // should this process end now, another one goes on
+		o.g.gossip.News() // if this process ends now, another leader continues
 	}
 	var group sync.WaitGroup
-	turns := make(chan struct{}, ordersAtOnce)
+	slots := make(chan struct{}, ordersAtOnce)
 	results := make([]orderResult, len(moves))
 	for i, m := range moves {
-		turns <- struct{}{}
+		slots <- struct{}{}
 		group.Go(func() {
-			defer func() { <-turns }()
+			defer func() { <-slots }()
 			results[i] = o.order(ctx, f.byID[m.ID], m.Layers)
 		})
 	}
@@ -195,7 +194,7 @@
 	return !slices.Contains(results, orderReplaced)
 }
 
-// cards lists the endpoints of a model as the planner sees them.
+// cards lists the endpoints of a model in the form that the planner needs.
 func (o *leader) cards(m *catalog.Model, open []*backend, now time.Time) []spread.Card {
 	cards := make([]spread.Card, 0, len(open))
 	for _, b := range open {
@@ -206,9 +205,9 @@
 			ID: b.ID, Hall: b.Hall, Kind: b.Card, Holds: b.Layers,
 			InUse: b.use.active.Load()+b.use.othersActive.Load() > 0,
 		}
-		if order := b.use.ordered.Load(); order != nil {
+		if order := b.use.pendingOrder.Load(); order != nil {
 			if b.Layers == order.layers || now.After(order.until) {
-				b.use.ordered.CompareAndSwap(order, nil)
+				b.use.pendingOrder.CompareAndSwap(order, nil)
 			} else {
 				c.Holds, c.Settled = order.layers, true
 			}
--- a/role/gateway/plain.go
+++ b/role/gateway/plain.go
@@ -11,20 +11,20 @@
 	"github.com/grademill/grademill/decide/throttle"
 )
 
-// The figures of plain services.
+// Timing and weights of plain services.
 const (
-	// silenceDefault is how long a repeatable request waits for an endpoint before
-	// it goes to another where the route has no objective; otherwise it waits for
-	// as long as that.
-	silenceDefault = 400 * time.Millisecond
-	// maxSends bounds the endpoints that one request is sent to.
+	// defaultAnswerWait is how long a repeatable request waits for an endpoint before it goes to
+	// another where the route has no objective; otherwise it waits for the objective.
+	defaultAnswerWait = 400 * time.Millisecond
+	// maxSends bounds the endpoints to which one request is sent.
 	maxSends = 4
-	// loadFresh is how long an endpoint's word about its load is believed.
+	// loadFresh is how long the load that an endpoint reported counts.
 	loadFresh = 500 * time.Millisecond
-	// failingWeight is how much the share of failures weighs beside load.
+	// failingWeight is the weight of the failure rate relative to load.
 	failingWeight = 8
-	// farWeight is what another data hall weighs, in requests.
-	farWeight = 0.3
+	// otherHallWeight is the extra load, in requests, attributed to an endpoint in another data
+	// hall.
+	otherHallWeight = 0.3
 )
 
 // servePlain serves a request of a plain service.
@@ -49,12 +49,12 @@
 		if b.use.intake.Take(time.Now()) != throttle.Free {
 			continue // another request has taken the room meanwhile
 		}
-		if q.arrived.Load() && !g.again(q, q.cause) {
+		if q.everReached.Load() && !g.allowRetry(q, q.cause) {
 			reason = "the retry budget is used up: " + reason
 			break
 		}
-		q.note(b.Address)
-		done, why := g.tryPlain(q, b)
+		q.noteUsed(b.Address)
+		done, why := g.attemptPlain(q, b)
 		if done {
 			return
 		}
@@ -63,31 +63,31 @@
 		if q.mayHaveRun && (!q.route.Repeats() || q.runs() >= q.route.Attempts) {
 			break
 		}
-		if q.left(time.Now()) <= 0 {
+		if q.timeLeft(time.Now()) <= 0 {
 			break
 		}
 	}
 	g.giveUp(q, reason)
 }
 
-// candidates are the backends of a plain service as one request finds them.
+// candidates are the backends of a plain service that a request may use.
 type candidates struct {
-	// free may be sent to, limited have no part of their limit left for this gateway, and resting
-	// take nothing for another reason.
+	// free accept requests, limited have no share of their limit left for this gateway, and resting
+	// accept nothing for another reason.
 	free, limited, resting []*backend
-	// spare is one that is passed over and takes requests, nil for none.
+	// spare is a backend that is avoided but accepts requests, nil for none.
 	spare *backend
 }
 
-// candidates returns the backends that a request may go to at now.
+// candidates returns the backends to which a request may go at now.
 func (g *Gateway) candidates(q *query, now time.Time) candidates {
 	var c candidates
-	isolated := g.isolated(q.service.Name, now)
+	isolationPlan := g.isolationPlan(q.service.Name, now)
 	for _, b := range g.fleet.Load().open[q.service.Name] {
 		if q.avoids(b.Address) {
 			continue
 		}
-		hold, passedOver := b.use.intake.Held(now), !q.mayBegin(b, isolated) || b.use.avoided(now)
+		hold, passedOver := b.use.intake.Held(now), !q.mayStartAt(b, isolationPlan) || b.use.avoided(now)
 		switch {
 		case hold == throttle.Free && passedOver:
 			c.spare = b
@@ -102,13 +102,13 @@
 	return c
 }
 
-// pick returns the backend of a plain service that is the least loaded, by what
-// this gateway has there, what the endpoint said lately, and how often it fails.
-// One that takes nothing for now is not returned even where there is no other.
+// pick returns the least loaded backend of a plain service, by the requests of this gateway, the
+// load that the endpoint reported recently, and its failure rate. A backend that accepts nothing
+// for now is not returned even if it is the only one.
 func (g *Gateway) pick(q *query) *backend {
 	now := time.Now()
 	c := g.candidates(q, now)
-	if wanted := g.leastLoaded(slices.Concat(c.free, c.limited), now); wanted != nil && !q.hasLooked() {
+	if wanted := g.leastLoaded(slices.Concat(c.free, c.limited), now); wanted != nil && !q.hasSearched() {
 		wanted.use.intake.Want(now)
 	}
 	g.noteHeld(q, slices.Concat(c.limited, c.resting), now)
@@ -130,21 +130,21 @@
 	return best
 }
 
-// load returns how loaded a backend of a plain service looks.
+// load returns the load score of a backend of a plain service.
 func (g *Gateway) load(b *backend, now time.Time) float64 {
 	score := float64(b.use.active.Load() + b.use.othersActive.Load())
-	if now.UnixNano()-b.use.said.Load() < int64(loadFresh) {
+	if now.UnixNano()-b.use.loadReportedAt.Load() < int64(loadFresh) {
 		score += float64(b.use.waiting.Load())
 	}
 	if b.Hall != g.Hall {
-		score += farWeight
+		score += otherHallWeight
 	}
 	return (score + 1) * (1 + failingWeight*b.use.health.Load().Failing)
 }
 
-// tryPlain sends the request to a backend. It reports whether the request has
-// ended, or else why not.
-func (g *Gateway) tryPlain(q *query, b *backend) (bool, string) {
+// attemptPlain sends the request to a backend. It reports whether the request has ended, or else
+// why not.
+func (g *Gateway) attemptPlain(q *query, b *backend) (bool, string) {
 	b.use.take(0)
 	defer b.use.release(0)
 	until := q.deadline
@@ -152,7 +152,7 @@
 	if !last {
 		wait := q.route.Objective
 		if wait <= 0 {
-			wait = silenceDefault
+			wait = defaultAnswerWait
 		}
 		if soon := time.Now().Add(wait); soon.Before(until) {
 			until = soon
@@ -160,7 +160,7 @@
 	}
 	ctx, cancel := context.WithDeadline(q.r.Context(), until)
 	defer cancel()
-	if !q.route.Repeats() { // should this process end now, that is all that is known
+	if !q.route.Repeats() { // if this process ends now, this line is the only trace of the request
 		g.Log.Info().Str("request", q.ID).Str("endpoint", b.ID).Str("address", b.Address).
 			Uint64("version", q.version).Msg("request is sent")
 	}
@@ -172,7 +172,7 @@
 	case verdictNotRun:
 		q.cause = causeNotRun
 		return false, notRunReason(t)
-	case verdictLost, verdictOver:
+	case verdictLost, verdictEnded:
 		q.cause = causeLost
 		q.ran = append(q.ran, b)
 		g.endedUnder(q, b)
@@ -181,58 +181,58 @@
 	q.ran = append(q.ran, b)
 	body, err := t.answer.ReadAll()
 	if err != nil {
-		b.use.judge(health.Record.WithFailure)
+		b.use.updateHealth(health.Record.WithFailure)
 		q.cause = causeBroken
 		g.endedUnder(q, b)
 		return false, "the answer broke off: " + err.Error()
 	}
 	g.quarantine.Survived(q.print, time.Now())
 	if t.answer.Status >= http.StatusInternalServerError {
-		b.use.judge(health.Record.WithFailure)
-		if !last && g.left(q) && g.pickOther(q, b) {
+		b.use.updateHealth(health.Record.WithFailure)
+		if !last && g.timeLeft(q) && g.hasOther(q, b) {
 			q.cause = causeFailed
 			return false, "the endpoint answered " + strconv.Itoa(t.answer.Status)
 		}
 	} else {
-		b.use.judge(health.Record.WithSuccess)
+		b.use.updateHealth(health.Record.WithSuccess)
 	}
 	g.deliver(q, t, body)
 	return true, ""
 }
 
-// left reports whether there is time for another try.
-func (g *Gateway) left(q *query) bool {
-	return q.left(time.Now()) > 0 && !q.callerLeft()
+// timeLeft reports whether there is time for another attempt.
+func (g *Gateway) timeLeft(q *query) bool {
+	return q.timeLeft(time.Now()) > 0 && !q.callerLeft()
 }
 
-// pickOther reports whether another backend than b is there.
-func (g *Gateway) pickOther(q *query, b *backend) bool {
+// hasOther reports whether there is a backend other than b.
+func (g *Gateway) hasOther(q *query, b *backend) bool {
 	q.avoid(b.Address)
 	return g.pick(q) != nil
 }
 
-// notRunReason says why a request was not run.
-func notRunReason(t try) string {
+// notRunReason returns why a request was not run.
+func notRunReason(t attempt) string {
 	if t.err != nil {
 		return t.err.Error()
 	}
 	return "the endpoint turned it away with status " + strconv.Itoa(t.answer.Status)
 }
 
-// promises are statuses by which a caller takes a request as not run.
-var promises = map[int]bool{
+// notRunStatuses are the statuses that tell a caller that the request has not run.
+var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
 
 // deliver passes a whole answer on.
-func (g *Gateway) deliver(q *query, t try, body []byte) {
-	if promises[t.answer.Status] { // the endpoint ran it: its status would say otherwise
+func (g *Gateway) deliver(q *query, t attempt, body []byte) {
+	if notRunStatuses[t.answer.Status] { // the endpoint ran it, but its status would say otherwise
 		g.fail(q, http.StatusBadGateway, "the endpoint ran the request and answered "+strconv.Itoa(t.answer.Status))
 		return
 	}
 	q.first = time.Now()
-	q.set(t.answer.Status, outcomeServed, "")
+	q.setOutcome(t.answer.Status, outcomeServed, "")
 	if t.answer.Status >= http.StatusBadRequest {
 		q.outcome = outcomeFailed
 		q.reason = "the endpoint's own answer"
@@ -243,6 +243,6 @@
 	}
 	q.w.WriteHeader(t.answer.Status)
 	if _, err := q.w.Write(body); err != nil {
-		q.set(t.answer.Status, outcomeLeft, err.Error())
+		q.setOutcome(t.answer.Status, outcomeLeft, err.Error())
 	}
 }
--- a/role/gateway/stream.go
+++ b/role/gateway/stream.go
@@ -15,77 +15,74 @@
 	"github.com/grademill/grademill/decide/health"
 )
 
-// The figures of streams.
+// Timing and bounds of streams.
 const (
-	// firstWait is how long the first event may take before another chain is
-	// tried, in parts of the route's objective.
-	firstWait = 3
-	// pauseWait is how long a pause may be before a chain is given up, in parts
-	// of the pause that the route allows: a caller gives up after two seconds or
-	// eight such pauses.
-	pauseWait = 6
-	// pauseDefault is the pause that is allowed where the route says nothing.
-	pauseDefault = 500 * time.Millisecond
-	// objectiveDefault is the objective where the route says nothing.
-	objectiveDefault = time.Second
-	// maxEvent bounds the size of an event.
+	// firstWaitFactor is how long the first event may take before another chain is tried, as a
+	// multiple of the route's objective.
+	firstWaitFactor = 3
+	// pauseWaitFactor is how long a pause may last before a chain is given up, as a multiple of the
+	// pause that the route allows: a caller gives up after two seconds or eight such pauses.
+	pauseWaitFactor = 6
+	// defaultMaxPause is the allowed pause of a route that sets none.
+	defaultMaxPause = 500 * time.Millisecond
+	// defaultObjective is the objective of a route that sets none.
+	defaultObjective = time.Second
+	// maxEvent bounds the size of an event, in bytes.
 	maxEvent = 1 << 20
-	// eventBuffer holds a few events.
+	// eventBuffer is the size of the read buffer in bytes, enough for a few events.
 	eventBuffer = 2048
-	// writeWait bounds the passing on of one event to a caller that does not
-	// read.
+	// writeWait bounds the write of one event to a caller that does not read.
 	writeWait = 10 * time.Second
-	// pollBudget is the time between two looks whether the retry budget has a retry left.
+	// pollBudget is the interval at which a stream polls the retry budget.
 	pollBudget = 15 * time.Millisecond
-	// shortWait is how long an endpoint that refused for want of room is not
-	// tried again.
-	shortWait = 200 * time.Millisecond
+	// noRoomWait is how long an endpoint that refused for lack of room is avoided.
+	noRoomWait = 200 * time.Millisecond
 )
 
-// relay is a stream on its way to a caller.
+// relay passes a stream on to a caller.
 type relay struct {
 	g *Gateway
 	q *query
-	// headSent is set once the head has gone to the caller.
+	// headSent is set once the head has been sent to the caller.
 	headSent bool
-	// last is the ID of the last event that the caller has.
+	// last is the ID of the last event that was sent to the caller.
 	last string
-	// lastAt is when an event last went out.
+	// lastAt is when an event was last sent to the caller.
 	lastAt time.Time
 	flush  *http.ResponseController
 	// sentAt is when the request was last sent.
 	sentAt time.Time
-	// reserved is the seat of the next try, with its part of the retry budget, when
-	// the last try was left for it; nil otherwise.
-	reserved *seat
+	// reserved is the reservation of the next attempt, already charged to the retry budget, when
+	// the last attempt was abandoned for it; nil otherwise.
+	reserved *reservation
 }
 
-// serveModel serves a request of a model. It reports whether the answer has
-// broken off and must not look complete.
+// serveModel serves a request of a model. It reports whether the answer has broken off and must not
+// look complete.
 func (g *Gateway) serveModel(q *query) bool {
-	q.returned = g.line.Arrive(q.waiting())
+	q.returned = g.queue.Arrive(q.waiting())
 	s := &relay{g: g, q: q, last: q.After, flush: http.NewResponseController(q.w)}
 	reason := ""
 	for s.maySendAgain() {
-		seat, short := s.seat()
+		reservation, short := s.reservation()
 		if short != shortageNone {
 			reason = joinReasons(short, reason)
 			break
 		}
-		done, why := s.try(seat)
+		done, why := s.attempt(reservation)
 		if done {
-			s.drop()
+			s.dropReserved()
 			return false
 		}
 		reason = why
-		if q.r.Context().Err() != nil || q.left(time.Now()) <= 0 ||
+		if q.r.Context().Err() != nil || q.timeLeft(time.Now()) <= 0 ||
 			q.mayHaveRun && (!q.route.Repeats() || q.runs() >= q.route.Attempts) {
 			break
 		}
 	}
-	s.drop()
+	s.dropReserved()
 	if s.headSent {
-		q.set(q.status, outcomeBroken, reason)
+		q.setOutcome(q.status, outcomeBroken, reason)
 		if q.callerLeft() {
 			q.outcome = outcomeLeft
 		}
@@ -95,10 +92,11 @@
 	return false
 }
 
-// maySendAgain reports whether the request may be sent once more. One whose caller has events is
-// not broken off for want of room: beyond the usual number of sends it waits until an endpoint
-// that refused may be tried again, for as long as its caller bears a pause. In a burst of three
-// times the traffic 24 of 33 streams that were broken off had only been refused.
+// maySendAgain reports whether the request may be sent once more. A stream whose caller already has
+// events is not broken off for lack of room: beyond the usual number of sends it waits until an
+// endpoint that refused may be tried again, for as long as the caller accepts a pause. Without
+// this, in a burst of three times the usual traffic, 24 of 33 streams that were broken off had only
+// been refused.
 func (s *relay) maySendAgain() bool {
 	if s.q.sends < maxSends {
 		return true
@@ -106,12 +104,12 @@
 	if !s.headSent || s.q.cause != causeNotRun {
 		return false
 	}
-	pause.For(s.q.r.Context(), shortWait)
+	pause.For(s.q.r.Context(), noRoomWait)
 	now := time.Now()
-	return s.q.r.Context().Err() == nil && now.Before(s.turn(now).Until)
+	return s.q.r.Context().Err() == nil && now.Before(s.terms(now).Until)
 }
 
-// joinReasons returns why there is no further try, after why the last one ended.
+// joinReasons returns why there is no further attempt, followed by why the last one ended.
 func joinReasons(short shortage, last string) string {
 	if last == "" {
 		return string(short)
@@ -119,18 +117,18 @@
 	return string(short) + ": " + last
 }
 
-// drop gives back a seat that was reserved and is not used.
-func (s *relay) drop() {
+// dropReserved releases a reservation that is not used.
+func (s *relay) dropReserved() {
 	if s.reserved != nil {
 		s.reserved.release()
 		s.reserved = nil
 	}
 }
 
-// seat returns the seat that the last try was left for, or takes one, with its part of
-// the retry budget when the request has reached an endpoint before. It waits in line for
-// as long as the request may.
-func (s *relay) seat() (*seat, shortage) {
+// reservation returns the reservation for which the last attempt was abandoned, or makes one,
+// and takes a retry from the budget when the request may already have reached an endpoint. It waits
+// in the queue for as long as the request may.
+func (s *relay) reservation() (*reservation, shortage) {
 	if short := s.g.awaitIsolation(s.q); short != shortageNone {
 		return nil, short
 	}
@@ -138,14 +136,14 @@
 		s.reserved = nil
 		return taken, shortageNone
 	}
-	turn := s.turn(time.Now())
-	retry := s.q.arrived.Load()
-	if retry && !s.allowed(turn.Until) {
+	terms := s.terms(time.Now())
+	retry := s.q.everReached.Load()
+	if retry && !s.takeRetry(terms.Until) {
 		return nil, shortageBudget
 	}
-	taken, short := s.g.takeTurn(s.q, turn)
+	taken, short := s.g.reserveQueued(s.q, terms)
 	if short == shortageNone {
-		if short = s.g.withheld(s.q); short != shortageNone { // known since, while it waited in line
+		if short = s.g.withheld(s.q); short != shortageNone { // quarantined while it waited in the queue
 			taken.release()
 		}
 	}
@@ -155,11 +153,11 @@
 	return taken, short
 }
 
-// allowed takes a retry out of the budget, and reports whether it has. A stream that has
-// begun waits for one as long as its caller does; another one is told at once, since its
-// caller can try again.
-func (s *relay) allowed(until time.Time) bool {
-	for !s.g.again(s.q, s.q.cause) {
+// takeRetry takes a retry from the budget, and reports whether there was one. A stream whose caller
+// already has events waits for one as long as its caller does; any other request is refused at
+// once, since its caller can retry.
+func (s *relay) takeRetry(until time.Time) bool {
+	for !s.g.allowRetry(s.q, s.q.cause) {
 		if !s.headSent || !time.Now().Before(until) || s.q.r.Context().Err() != nil {
 			return false
 		}
@@ -171,87 +169,87 @@
 // objective returns how soon the first event is wanted.
 func objective(r *catalog.Route) time.Duration {
 	if r.Objective <= 0 {
-		return objectiveDefault
+		return defaultObjective
 	}
 	return r.Objective
 }
 
-// allowedPause returns how long a pause may be.
+// allowedPause returns the longest pause between two events that the route allows.
 func allowedPause(r *catalog.Route) time.Duration {
 	if r.MaxPause <= 0 {
-		return pauseDefault
+		return defaultMaxPause
 	}
 	return r.MaxPause
 }
 
-// try sends the request along a chain and passes the events on. It reports
-// whether the request has ended, or else why not.
-func (s *relay) try(seat *seat) (bool, string) {
+// attempt sends the request along a chain and passes the events on. It reports whether the request
+// has ended, or else why not.
+func (s *relay) attempt(reservation *reservation) (bool, string) {
 	q, g := s.q, s.g
-	q.note(seat.chain.String())
+	q.noteUsed(reservation.chain.String())
 	ctx, cancel := context.WithDeadlineCause(q.r.Context(), q.deadline, context.DeadlineExceeded)
 	defer cancel()
-	w := newWatchdog(ctx, s, seat, cancel)
+	w := newWatchdog(ctx, s, reservation, cancel)
 	defer func() { s.reserved = w.stop() }()
 	s.sentAt = time.Now()
-	t := g.send(ctx, q, seat.first, seat.chain, s.last)
+	t := g.send(ctx, q, reservation.first, reservation.chain, s.last)
 	if t.answer != nil {
 		defer t.answer.Close()
 	}
 	switch t.verdict {
 	case verdictNotRun:
 		q.cause = causeNotRun
-		s.blame(seat, t)
+		s.noteRefusal(reservation, t)
 		return false, notRunReason(t)
-	case verdictLost, verdictOver:
+	case verdictLost, verdictEnded:
 		q.cause = causeLost
-		q.ran = append(q.ran, seat.first)
+		q.ran = append(q.ran, reservation.first)
 		if t.verdict == verdictLost {
-			g.verify(q.r.Context(), seat.first)
+			g.verify(q.r.Context(), reservation.first)
 		}
-		s.noteLoss(seat.first)
-		q.avoid(seat.first.Address)
+		s.noteLoss(reservation.first)
+		q.avoid(reservation.first.Address)
 		return false, t.err.Error()
 	}
-	q.ran = append(q.ran, seat.first)
+	q.ran = append(q.ran, reservation.first)
 	if t.answer.Status != http.StatusOK {
-		return s.whole(t, seat)
+		return s.passWhole(t, reservation)
 	}
-	return s.events(t, seat, w)
+	return s.events(t, reservation, w)
 }
 
-// blame notes which endpoint of a chain refused.
-func (s *relay) blame(seat *seat, t try) {
-	address := seat.first.Address
+// noteRefusal records which endpoint of a chain refused.
+func (s *relay) noteRefusal(reservation *reservation, t attempt) {
+	address := reservation.first.Address
 	if t.answer != nil && t.reply.Blamed != "" {
 		address = t.reply.Blamed
 	}
 	s.q.avoid(address)
 	if b := s.g.fleet.Load().byAddress[address]; b != nil {
-		b.use.shortUntil.Store(time.Now().Add(shortWait).UnixNano())
-		if address != seat.first.Address {
-			s.g.doubtRefused(b, t.answer != nil && t.answer.Status == http.StatusMisdirectedRequest, s.sentAt)
+		b.use.noRoomUntil.Store(time.Now().Add(noRoomWait).UnixNano())
+		if address != reservation.first.Address {
+			s.g.checkRefused(b, t.answer != nil && t.answer.Status == http.StatusMisdirectedRequest, s.sentAt)
 		}
 	}
-	s.g.Log.Info().Str("request", s.q.ID).Str("first", seat.first.Address).Str("blamed", address).
+	s.g.Log.Info().Str("request", s.q.ID).Str("first", reservation.first.Address).Str("blamed", address).
 		Str("reason", notRunReason(t)).Msg("chain refused the request")
 }
 
-// noteLoss notes whether the first endpoint of a try has been lost to all gateways.
+// noteLoss records whether all gateways have lost the first endpoint of an attempt.
 func (s *relay) noteLoss(first *backend) {
-	together := 0.0
-	if first.use.dead(time.Now()) {
-		together = first.use.together()
+	fleetFactor := 0.0
+	if first.use.presumedDead(time.Now()) {
+		fleetFactor = first.use.fleetFactor()
 	}
-	s.q.setTogether(together)
+	s.q.setFleetFactor(fleetFactor)
 }
 
-// whole passes on an answer that is no stream.
-func (s *relay) whole(t try, seat *seat) (bool, string) {
+// passWhole passes on an answer that is not a stream.
+func (s *relay) passWhole(t attempt, reservation *reservation) (bool, string) {
 	body, err := t.answer.ReadAll()
 	if err != nil || s.headSent || t.answer.Status >= http.StatusInternalServerError && s.q.route.Repeats() {
-		seat.first.use.judge(health.Record.WithFailure)
-		s.q.avoid(seat.first.Address)
+		reservation.first.use.updateHealth(health.Record.WithFailure)
+		s.q.avoid(reservation.first.Address)
 		s.q.cause = causeFailed
 		return false, "the endpoint answered " + strconv.Itoa(t.answer.Status)
 	}
@@ -259,34 +257,34 @@
 	return true, ""
 }
 
-// events passes events on until the stream ends or breaks. It reports whether
-// the request has ended, or else why not.
-func (s *relay) events(t try, seat *seat, w *watchdog) (bool, string) {
+// events passes events on until the stream ends or breaks. It reports whether the request has
+// ended, or else why not.
+func (s *relay) events(t attempt, reservation *reservation, w *watchdog) (bool, string) {
 	reader := event.Reader{Source: bufio.NewReaderSize(t.answer, eventBuffer), Max: maxEvent}
 	for {
 		e, err := reader.Next()
 		if errors.Is(err, io.EOF) {
-			seat.first.use.judge(health.Record.WithSuccess)
+			reservation.first.use.updateHealth(health.Record.WithSuccess)
 			return true, s.finish(t)
 		}
 		if err != nil {
-			return false, s.broken(seat, w, err)
+			return false, s.broken(reservation, w, err)
 		}
 		w.event()
 		if err := s.pass(t, e, reader.Source.Buffered() == 0); err != nil {
-			s.q.set(s.q.status, outcomeLeft, err.Error())
+			s.q.setOutcome(s.q.status, outcomeLeft, err.Error())
 			return true, ""
 		}
 	}
 }
 
-// pass gives one event to the caller, after the head when it is the first.
-func (s *relay) pass(t try, e event.Event, flush bool) error {
+// pass writes one event to the caller, preceded by the head if it is the first.
+func (s *relay) pass(t attempt, e event.Event, flush bool) error {
 	now := time.Now()
 	if !s.headSent {
 		s.head(t)
 		s.q.first = now
-		s.g.line.Times.NoteFirst(s.q.service.Name, now.Sub(s.sentAt))
+		s.g.queue.Times.NoteFirst(s.q.service.Name, now.Sub(s.sentAt))
 	} else {
 		s.q.pause = max(s.q.pause, now.Sub(s.lastAt))
 	}
@@ -307,40 +305,40 @@
 	return s.flush.Flush()
 }
 
-// head gives the head of the answer to the caller.
-func (s *relay) head(t try) {
+// head writes the head of the answer to the caller.
+func (s *relay) head(t attempt) {
 	s.headSent = true
-	s.q.set(t.answer.Status, outcomeServed, "")
+	s.q.setOutcome(t.answer.Status, outcomeServed, "")
 	copyHeader(s.q.w.Header(), t.answer.Header)
 	s.q.w.WriteHeader(t.answer.Status)
 }
 
 // finish ends a stream that is complete.
-func (s *relay) finish(t try) string {
+func (s *relay) finish(t attempt) string {
 	if !s.headSent {
 		s.head(t)
 	}
 	_ = s.flush.SetWriteDeadline(time.Time{}) // the next answer sets its own
-	s.q.set(t.answer.Status, outcomeServed, "")
+	s.q.setOutcome(t.answer.Status, outcomeServed, "")
 	s.g.quarantine.Survived(s.q.print, time.Now())
-	s.g.line.Times.NoteWhole(s.q.service.Name, time.Since(s.sentAt))
+	s.g.queue.Times.NoteWhole(s.q.service.Name, time.Since(s.sentAt))
 	return ""
 }
 
-// broken notes that a chain broke and returns why.
-func (s *relay) broken(seat *seat, w *watchdog, err error) string {
+// broken records that a chain broke and returns why.
+func (s *relay) broken(reservation *reservation, w *watchdog, err error) string {
 	q := s.q
 	if q.r.Context().Err() != nil {
 		return "the caller left"
 	}
 	stalled := w.gaveUp()
-	q.avoid(seat.first.Address)
-	seat.first.use.judge(health.Record.WithFailure)
-	s.g.verify(q.r.Context(), seat.first)
-	s.noteLoss(seat.first)
-	q.carried++
+	q.avoid(reservation.first.Address)
+	reservation.first.use.updateHealth(health.Record.WithFailure)
+	s.g.verify(q.r.Context(), reservation.first)
+	s.noteLoss(reservation.first)
+	q.resumed++
 	q.cause = causeBroken
-	s.g.Log.Info().Str("request", q.ID).Stringer("chain", seat.chain).Bool("stalled", stalled).Err(err).
+	s.g.Log.Info().Str("request", q.ID).Stringer("chain", reservation.chain).Bool("stalled", stalled).Err(err).
 		Int("events", q.events).Str("last", s.last).Msg("chain broke")
 	return "the chain broke: " + err.Error()
 }
--- a/role/gateway/try.go
+++ b/role/gateway/try.go
@@ -16,141 +16,140 @@
 type verdict uint8
 
 const (
-	// verdictAnswer is an answer that the endpoint vouches for.
+	// verdictAnswer is an answer that the endpoint has signed.
 	verdictAnswer verdict = iota
-	// verdictNotRun is a request that the endpoint has not run.
+	// verdictNotRun means that the endpoint has not run the request.
 	verdictNotRun
-	// verdictLost is a request whose endpoint did not answer properly; it may
-	// have run.
+	// verdictLost means that the endpoint did not answer properly; it may have run the request.
 	verdictLost
-	// verdictOver is a request whose caller has left or whose time is up.
-	verdictOver
+	// verdictEnded means that the caller has left or the deadline has passed.
+	verdictEnded
 )
 
-// try is one send of a request.
-type try struct {
+// attempt is one send of a request.
+type attempt struct {
 	answer *upstream.Answer
 	reply  exchange.Reply
 	verdict
-	// err is why there is no proper answer.
+	// err is the reason why there is no proper answer.
 	err error
 }
 
-// connectionRest is how long a connection may have rested to carry a request
-// that must not be sent twice: an endpoint may close it at any time, and a
-// request that meets the close may have run.
+// maxConnIdle is how long a connection may have been idle to carry a request,
+// maxConnIdleNonRepeatable if the request must not be sent twice: an endpoint may close an idle
+// connection at any time, and a request sent while it does may have run.
 const (
-	connectionRest     = 10 * time.Second
-	connectionRestOnce = 200 * time.Millisecond
+	maxConnIdle              = 10 * time.Second
+	maxConnIdleNonRepeatable = 200 * time.Millisecond
 )
 
-// send sends a request to a backend and waits for the head of the answer. The
-// answer of the try, if any, is to be closed.
-func (g *Gateway) send(ctx context.Context, q *query, b *backend, c chain.Chain, after string) try {
+// send sends a request to a backend and waits for the head of the answer. The caller closes the
+// answer of the attempt, if any.
+func (g *Gateway) send(ctx context.Context, q *query, b *backend, c chain.Chain, after string) attempt {
 	q.sends++
 	q.last, q.sentAt = b, time.Now()
 	q.reached.Store(false)
 	header := q.r.Header.Clone()
 	g.Dialect.Send(header, exchange.Send{
-		Team: q.team, Left: q.left(time.Now()), Endpoint: b.ID, Priority: q.priority, Chain: c, After: after,
+		Team: q.team, Left: q.timeLeft(time.Now()), Endpoint: b.ID, Priority: q.priority, Chain: c, After: after,
 	})
 	call := upstream.Call{
 		Address: b.Address, Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host, Header: header,
-		Body: q.body, HasBody: q.hasBody, Rest: connectionRest, Wrote: func() { q.reached.Store(true) },
+		Body: q.body, HasBody: q.hasBody, Rest: maxConnIdle, Wrote: func() { q.reached.Store(true) },
 		Mine: func(h http.Header) bool {
 			id := g.Dialect.Reply(0, h).ID
-			return id == q.ID || id == "" // a refusal need not name the request
+			return id == q.ID || id == "" // a refusal need not carry the request ID
 		},
 	}
 	if !q.route.Repeats() {
-		call.Rest = connectionRestOnce
+		call.Rest = maxConnIdleNonRepeatable
 	}
 	answer, err := g.pool.Do(ctx, call)
 	if err != nil {
-		return g.lost(ctx, q, b, err)
+		return g.sendFailed(ctx, q, b, err)
 	}
-	q.arrived.Store(true)
-	t := try{answer: answer, reply: g.Dialect.Reply(answer.Status, answer.Header)}
+	q.everReached.Store(true)
+	t := attempt{answer: answer, reply: g.Dialect.Reply(answer.Status, answer.Header)}
 	g.noteLoad(b, t.reply)
 	t.reply.Word.Sent, t.reply.Word.Heard = q.sentAt, time.Now()
-	if ownWord(t) {
+	if isOwnReport(t) {
 		g.throttling.Hear(b.ID, &b.use.intake, t.reply.Word)
 	}
 	switch {
 	case t.reply.NotRun:
 		t.verdict = verdictNotRun
-		_, _ = answer.ReadAll() // only so that the connection can be kept
+		_, _ = answer.ReadAll() // only so that the connection can be reused
 	case t.reply.Signed && t.reply.ID == q.ID:
 		q.mayHaveRun = true
-		b.use.judge(health.Record.WithAnswer)
+		b.use.updateHealth(health.Record.WithAnswer)
 		if b.Card == "" {
 			b.use.ended.Store(false) // it has started again
 		}
 	default:
 		q.mayHaveRun = true
 		t.verdict, t.err = verdictLost, errUnsigned
-		b.use.judge(health.Record.WithFailure)
+		b.use.updateHealth(health.Record.WithFailure)
 	}
 	return t
 }
 
-// ownWord reports whether an answer is surely the endpoint's own: a misdirected request has reached
-// another one at its address, whose limits are none of the endpoint's.
-func ownWord(t try) bool {
+// isOwnReport reports whether an answer certainly comes from the endpoint itself. A misdirected
+// request has reached another endpoint at its address, whose limits do not apply.
+func isOwnReport(t attempt) bool {
 	return t.reply.Signed || t.reply.NotRun && t.answer.Status != http.StatusMisdirectedRequest
 }
 
-// errUnsigned is an answer that the endpoint does not vouch for.
+// errUnsigned is the error of an answer without the endpoint's signature.
 var errUnsigned = errors.New("the endpoint does not vouch for its answer")
 
-// lost judges a send that got no head of an answer.
-func (g *Gateway) lost(ctx context.Context, q *query, b *backend, err error) try {
-	t := try{verdict: verdictLost, err: err}
+// sendFailed judges a send that got no head of an answer.
+func (g *Gateway) sendFailed(ctx context.Context, q *query, b *backend, err error) attempt {
+	t := attempt{verdict: verdictLost, err: err}
 	var failed *upstream.SendError
 	sent := !errors.As(err, &failed) || failed.Sent
 	if sent {
 		q.mayHaveRun = true
-		q.arrived.Store(true)
+		q.everReached.Store(true)
 	} else {
 		t.verdict = verdictNotRun
 	}
 	if q.r.Context().Err() != nil || !time.Now().Before(q.deadline) {
-		t.verdict = verdictOver
+		t.verdict = verdictEnded
 		return t
 	}
 	switch {
 	case !sent || b.Card == "" && ctx.Err() == nil:
-		b.use.judge(func(r health.Record) health.Record { return r.WithLoss(time.Now()) })
+		b.use.updateHealth(func(r health.Record) health.Record { return r.WithLoss(time.Now()) })
 	case ctx.Err() == nil:
-		b.use.judge(func(r health.Record) health.Record { return r.WithDrop(time.Now()) })
+		b.use.updateHealth(func(r health.Record) health.Record { return r.WithDrop(time.Now()) })
 	default:
-		b.use.judge(health.Record.WithFailure)
+		b.use.updateHealth(health.Record.WithFailure)
 	}
 	if !sent {
-		g.suspect(b)
+		g.checkAsync(b)
 	}
 	return t
 }
 
-// noteLoad notes what an endpoint says of its load.
+// noteLoad records the load that an endpoint reports with its answer.
 func (g *Gateway) noteLoad(b *backend, r exchange.Reply) {
 	if r.Slots > 0 {
 		b.use.waiting.Store(int64(r.Waiting))
-		b.use.said.Store(time.Now().UnixNano())
+		b.use.loadReportedAt.Store(time.Now().UnixNano())
 	}
 }
 
-// The causes of sending a request again.
+// Causes of sending a request again.
 const (
-	causeNotRun = "not run"
-	causeLost   = "lost"
-	causeFailed = "failed"
-	causeBroken = "broken off"
-	causeLeft   = "left"
+	causeNotRun    = "not run"
+	causeLost      = "lost"
+	causeFailed    = "failed"
+	causeBroken    = "broken off"
+	causeAbandoned = "left"
 )
 
-// again reports whether a request may be sent once more, and counts it.
-func (g *Gateway) again(q *query, cause string) bool {
+// allowRetry takes a retry from the budget, counts it, and reports whether there was one.
+func (g *Gateway) allowRetry(q *query, cause string) bool {
 	if !g.retries.Allow(q.service.Name, time.Now()) {
 		return false
 	}
--- a/role/gateway/watchdog.go
+++ b/role/gateway/watchdog.go
@@ -11,83 +11,81 @@
 	"github.com/grademill/grademill/port/runner"
 )
 
-// The figures of watching a stream.
+// Timing and bounds of watching a stream.
 const (
-	// overdueFirst is when the first event is overdue, in parts of the objective:
-	// usual times are a tenth of it.
-	overdueFirst = 0.2
-	// overdueLeast and overdueMost bound when a later event is overdue, in parts
-	// of the allowed pause; between them it is learned from the stream. What is
-	// left of the pause is to mend the chain.
-	overdueLeast = 0.35
-	overdueMost  = 0.5
-	// overdueAgain is when the next look follows, in parts of the objective or the
-	// allowed pause.
-	overdueAgain = 0.5
-	// maxMoves bounds how often one look tries to move a request.
+	// firstOverdueShare is when the first event is overdue, as a share of the objective; usual
+	// times are a tenth of the objective.
+	firstOverdueShare = 0.2
+	// minOverdueShare and maxOverdueShare bound when a later event is overdue, as a share of the
+	// allowed pause; the value between them is learned from the stream. The rest of the pause
+	// remains for repairing the chain.
+	minOverdueShare = 0.35
+	maxOverdueShare = 0.5
+	// recheckShare is the delay until the next check, as a share of the objective or of the allowed
+	// pause.
+	recheckShare = 0.5
+	// maxMoves bounds the attempts of one check to move a request.
 	maxMoves = 3
-	// moveWait bounds the order to move a request: an endpoint that lives answers
-	// within milliseconds.
+	// moveWait bounds the order to move a request: a live endpoint answers within milliseconds.
 	moveWait = 250 * time.Millisecond
 )
 
-// watchdog watches one try of a stream. When an event is overdue it has the
-// endpoints of the chain checked, and moves the request to a chain without those
-// that do not answer. When that does not help it gives the try up, and the stream
-// is carried over.
+// watchdog watches one attempt of a stream. When an event is overdue it checks the endpoints of the
+// chain and moves the request to a chain without those that do not answer. When that does not help
+// it abandons the attempt, and the stream is resumed along another chain.
 type watchdog struct {
-	ctx    context.Context
-	relay  *relay
-	cancel context.CancelFunc
-	begun  time.Time
-	// final is set when no other try may follow.
+	ctx       context.Context
+	relay     *relay
+	cancel    context.CancelFunc
+	startedAt time.Time
+	// final is set when no further attempt may follow.
 	final bool
 
-	mu    sync.Mutex // guards what follows
-	seat  *seat
-	timer *time.Timer
-	// last is when an event last came, first when the first one of the chain of the
-	// moment did; zero before.
+	mu          sync.Mutex // guards the fields below
+	reservation *reservation
+	timer       *time.Timer
+	// last is when the latest event arrived, first when the first event of the current chain did;
+	// zero before.
 	first, last time.Time
-	// gaps learns how long the stream's next event takes.
+	// gaps estimates the time until the stream's next event.
 	gaps timeout.Estimator
-	// looking is set while a look is under way: there is one at a time.
-	looking bool
-	// ended is set by stop, expired when the try was given up.
-	ended, expired bool
-	// stuckAt is the part that the request could last not be moved away from; only
-	// the look that is under way uses it.
-	stuckAt string
-	// suspectMoved is set once the request was moved though it was suspected: what ends then
-	// has ended under a try.
-	suspectMoved bool
-	// stays is why the try was not left when that was last looked for.
-	stays shortage
-	// reserved is the seat of the next try when this one was given up for it.
-	reserved *seat
+	// checking is set while a check runs; there is one at a time.
+	checking bool
+	// ended is set by stop, abandoned when the attempt was given up.
+	ended, abandoned bool
+	// unmovableFrom is the address of the endpoint from which the last move failed. Only the
+	// running check uses it.
+	unmovableFrom string
+	// movedWhileSuspect is set once the request was moved although it is a suspect: an endpoint
+	// that ends after that has ended under an isolated attempt.
+	movedWhileSuspect bool
+	// lastShortage is why the attempt was not abandoned at the previous check.
+	lastShortage shortage
+	// reserved is the reservation of the next attempt when this one was abandoned for it.
+	reserved *reservation
 }
 
-// newWatchdog starts to watch a try along a seat, which it releases in the end.
-func newWatchdog(ctx context.Context, s *relay, taken *seat, cancel context.CancelFunc) *watchdog {
+// newWatchdog starts to watch an attempt along a reservation, which stop releases.
+func newWatchdog(ctx context.Context, s *relay, taken *reservation, cancel context.CancelFunc) *watchdog {
 	pause := allowedPause(s.q.route)
 	w := &watchdog{
-		ctx: ctx, relay: s, seat: taken, cancel: cancel, begun: time.Now(),
+		ctx: ctx, relay: s, reservation: taken, cancel: cancel, startedAt: time.Now(),
 		final: !s.q.route.Repeats() || s.q.runs()+1 >= s.q.route.Attempts || s.q.sends+1 >= maxSends && !s.headSent,
-		gaps:  timeout.Estimator{Min: part(overdueLeast, pause), Max: part(overdueMost, pause)},
+		gaps:  timeout.Estimator{Min: fraction(minOverdueShare, pause), Max: fraction(maxOverdueShare, pause)},
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	taken.watch(w)
-	w.timer = time.AfterFunc(part(overdueFirst, objective(s.q.route)), w.look)
+	taken.addWatchdog(w)
+	w.timer = time.AfterFunc(fraction(firstOverdueShare, objective(s.q.route)), w.check)
 	return w
 }
 
-// part returns a part of a duration.
-func part(share float64, d time.Duration) time.Duration {
+// fraction returns the given share of a duration.
+func fraction(share float64, d time.Duration) time.Duration {
 	return time.Duration(share * float64(d))
 }
 
-// event notes that an event has come.
+// event records that an event has arrived.
 func (w *watchdog) event() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -99,36 +97,36 @@
 		w.first = now
 	}
 	w.last = now
-	w.seat.read()
-	for _, b := range w.seat.parts {
+	w.reservation.notePromptRead()
+	for _, b := range w.reservation.parts {
 		b.use.eventAt.Store(now.UnixNano())
 	}
 	w.timer.Reset(w.gaps.Value())
 }
 
-// beginTime is how long a request counts as just begun after its first event: one that ends
-// the endpoint that begins to run it did so 36 to 109 ms after its start, and the others that
-// run there mostly began before.
-const beginTime = time.Second
+// startWindow is how long a request counts as just started after its first event. A request that
+// crashed the endpoint that started it did so 36 to 109 ms after its start, and the other requests
+// there had mostly started before.
+const startWindow = time.Second
 
-// begins reports whether the endpoints of the chain have got the request and had lately begun
-// to run it at now.
-func (w *watchdog) begins(now time.Time) bool {
+// justStarted reports whether the endpoints of the chain may have received the request and had only
+// recently started it at now.
+func (w *watchdog) justStarted(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.relay.q.reached.Load() && (w.first.IsZero() || now.Sub(w.first) < beginTime)
+	return w.relay.q.reached.Load() && (w.first.IsZero() || now.Sub(w.first) < startWindow)
 }
 
-// tries reports whether an endpoint of the chain is one at which the request, a suspect, is tried.
-func (w *watchdog) tries(endpoint string) bool {
+// runsIsolated reports whether the request is a suspect and tried at the endpoint.
+func (w *watchdog) runsIsolated(endpoint string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.suspectMoved || w.relay.q.isolatedAt() == endpoint
+	return w.movedWhileSuspect || w.relay.q.isolatedAt() == endpoint
 }
 
-// kick has the watchdog look soon, since a part of the chain has been lost. An
-// event that is not late yet may still come: it was made before.
-func (w *watchdog) kick() {
+// checkSoon schedules a check since an endpoint of the chain has been lost. An event that is not
+// late yet may still arrive, produced before the loss.
+func (w *watchdog) checkSoon() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ended {
@@ -137,114 +135,114 @@
 	w.timer.Reset(max(time.Until(w.last.Add(w.gaps.Mean())), 0))
 }
 
-// stop ends the watch, releases the seat, and returns the one that the try was left
-// for, nil for none.
-func (w *watchdog) stop() *seat {
+// stop ends the watch, releases the reservation, and returns the one for which the attempt was
+// abandoned, nil for none.
+func (w *watchdog) stop() *reservation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ended = true
 	w.timer.Stop()
-	w.seat.unwatch(w)
-	w.seat.release()
+	w.reservation.removeWatchdog(w)
+	w.reservation.release()
 	return w.reserved
 }
 
-// gaveUp reports whether the try was given up.
+// gaveUp reports whether the attempt was abandoned.
 func (w *watchdog) gaveUp() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.expired
+	return w.abandoned
 }
 
-// look is called when an event is overdue, or a part of the chain has been lost.
-func (w *watchdog) look() {
+// check runs when an event is overdue or an endpoint of the chain has been lost.
+func (w *watchdog) check() {
 	w.mu.Lock()
-	last, seat := w.last, w.seat
+	last, reservation := w.last, w.reservation
 	if w.ended || w.ctx.Err() != nil {
 		w.mu.Unlock()
 		return
 	}
-	if w.looking {
-		w.timer.Reset(part(overdueLeast, w.aim(last)))
+	if w.checking {
+		w.timer.Reset(fraction(minOverdueShare, w.target(last)))
 		w.mu.Unlock()
 		return
 	}
-	w.looking = true
+	w.checking = true
 	w.mu.Unlock()
 
-	if (w.over(seat, last) || !w.mend(seat)) && w.leave(seat) {
+	if (w.waitedEnough(reservation, last) || !w.repair(reservation)) && w.abandon(reservation) {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.looking = false
+	w.checking = false
 	if !w.ended && w.last.Equal(last) {
-		w.timer.Reset(part(overdueAgain, w.aim(last)))
+		w.timer.Reset(fraction(recheckShare, w.target(last)))
 	}
 }
 
-// aim returns how long the next event may take.
-func (w *watchdog) aim(last time.Time) time.Duration {
+// target returns how long the next event may take.
+func (w *watchdog) target(last time.Time) time.Duration {
 	if last.IsZero() {
 		return objective(w.relay.q.route)
 	}
 	return allowedPause(w.relay.q.route)
 }
 
-// lively is how recent an event of another stream must be for its first endpoint
-// to count as working: then a wait is due to load, and another try would add to
-// it.
-const lively = 400 * time.Millisecond
+// workingEventAge is how recent an event of another stream must be for its first endpoint to count
+// as working. A delay there is due to load, to which another attempt would add.
+const workingEventAge = 400 * time.Millisecond
 
-// over reports whether the try has waited long enough.
-func (w *watchdog) over(seat *seat, last time.Time) bool {
+// waitedEnough reports whether the attempt has waited long enough for an event.
+func (w *watchdog) waitedEnough(reservation *reservation, last time.Time) bool {
 	q, now := w.relay.q, time.Now()
-	if !q.route.Repeats() || now.UnixNano()-seat.first.use.eventAt.Load() < int64(lively) {
+	if !q.route.Repeats() || now.UnixNano()-reservation.first.use.eventAt.Load() < int64(workingEventAge) {
 		return false
 	}
 	if last.IsZero() {
-		return now.Sub(w.begun) > firstWait*objective(q.route)
+		return now.Sub(w.startedAt) > firstWaitFactor*objective(q.route)
 	}
-	return now.Sub(last) > pauseWait*allowedPause(q.route)
+	return now.Sub(last) > pauseWaitFactor*allowedPause(q.route)
 }
 
-// forsake gives the room of the seat back although the try goes on: its first endpoint
-// has ended, so that the other ones work for it in vain, and may be given other layers.
-func (w *watchdog) forsake() {
+// releaseReservation releases the reservation although the attempt goes on: its first endpoint has
+// ended, so that the other endpoints work for it in vain and may be given other layers.
+func (w *watchdog) releaseReservation() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.seat.release()
+	w.reservation.release()
 }
 
-// faster leaves the try for one along another chain if the request can be moved, but would
-// be late then and is expected much sooner there. When an endpoint is lost all streams
-// through it are read again by those few of its hall that hold its layers too.
-func (w *watchdog) faster(old, moved *seat, lost *backend) bool {
+// switchIfFaster abandons the attempt for one along another chain if the request could be moved,
+// but would be late after the move and is expected much sooner on the other chain. When an endpoint
+// is lost, the few endpoints of its hall that hold the same layers have to read the prompts of all
+// its streams again.
+func (w *watchdog) switchIfFaster(old, moved *reservation, lost *backend) bool {
 	if w.final || w.relay.g.suspected(w.relay.q) {
 		return false
 	}
 	q := w.relay.q
-	wait, spare := moved.readTime(q, old, lost.use.together()), w.spare(time.Now())
-	if !reread.Leave(wait, 0, spare) {
+	wait, slack := moved.promptReadTime(q, old, lost.use.fleetFactor()), w.slack(time.Now())
+	if !reread.Leave(wait, 0, slack) {
 		return false
 	}
-	q.arrived.Store(true) // so that the try costs its part of the retry budget
-	next, short := w.relay.g.takeTry(q, causeLeft)
+	q.everReached.Store(true) // so that the new attempt is charged to the retry budget
+	next, short := w.relay.g.reserveAttempt(q, causeAbandoned)
 	if short != shortageNone {
 		return false
 	}
-	if !reread.Leave(wait, next.readTime(q, nil, 1), spare) || !w.leaveFor(next) {
+	if !reread.Leave(wait, next.promptReadTime(q, nil, 1), slack) || !w.abandonFor(next) {
 		next.release()
 		w.relay.g.retries.Return(q.service.Name)
 		return false
 	}
 	w.relay.g.Log.Info().Str("request", q.ID).Str("lost", lost.Address).Dur("wait_ms", wait).
-		Stringer("chain", next.chain).Msg("a try is left for a faster one")
+		Stringer("chain", next.chain).Msg("attempt abandoned for a faster chain")
 	return true
 }
 
-// spare returns how long the next event may still take without being late.
-func (w *watchdog) spare(now time.Time) time.Duration {
+// slack returns how long the next event may still take without being late.
+func (w *watchdog) slack(now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.last.IsZero() {
@@ -253,41 +251,41 @@
 	return allowedPause(w.relay.q.route) - now.Sub(w.last)
 }
 
-// leaveFor ends the try for one along a seat, and reports whether it has: not when it has
-// ended already.
-func (w *watchdog) leaveFor(next *seat) bool {
+// abandonFor ends the attempt for one along another reservation, and reports whether it did; it
+// does not when the attempt has already ended.
+func (w *watchdog) abandonFor(next *reservation) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ended {
 		return false
 	}
-	w.expired, w.reserved = true, next
+	w.abandoned, w.reserved = true, next
 	w.cancel()
 	return true
 }
 
-// leave ends the try if the request can be sent along another chain at once, and
-// reports whether it has. Otherwise the try goes on: what it waits for may come while
-// the caller does, and without another way nothing is won by ending it.
-func (w *watchdog) leave(seat *seat) bool {
+// abandon ends the attempt if the request can be sent along another chain at once, and reports
+// whether it did. Otherwise the attempt goes on: the event may still arrive in time, and without
+// another chain nothing is gained by ending it.
+func (w *watchdog) abandon(reservation *reservation) bool {
 	if w.final || !w.relay.g.maySend(w.relay.q) {
 		return false
 	}
 	q := w.relay.q
-	if w.relay.g.suspected(q) { // it waits for a try apart
-		q.arrived.Store(true)
-		return seat.first.use.down() && w.leaveFor(nil)
+	if w.relay.g.suspected(q) { // it waits for an isolated attempt
+		q.everReached.Store(true)
+		return reservation.first.use.down() && w.abandonFor(nil)
 	}
-	q.arrived.Store(true)
-	q.avoid(seat.first.Address)
-	next, short := w.relay.g.takeTry(q, causeLeft)
+	q.everReached.Store(true)
+	q.avoid(reservation.first.Address)
+	next, short := w.relay.g.reserveAttempt(q, causeAbandoned)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if short != w.stays || short == shortageNone {
-		w.relay.g.Log.Info().Str("request", q.ID).Str("first", seat.first.Address).Bool("down", seat.first.use.down()).
+	if short != w.lastShortage || short == shortageNone {
+		w.relay.g.Log.Info().Str("request", q.ID).Str("first", reservation.first.Address).Bool("down", reservation.first.use.down()).
 			Str("shortage", string(short)).Msg("whether a try is left for another")
 	}
-	w.stays = short
+	w.lastShortage = short
 	if short != shortageNone {
 		return false
 	}
@@ -295,49 +293,49 @@
 		next.release()
 		return true
 	}
-	w.expired, w.reserved = true, next
+	w.abandoned, w.reserved = true, next
 	w.cancel()
 	return true
 }
 
-// mend moves the request away from a part of its chain that is lost, and has the
-// parts checked when none is known to be. It returns false when the try is lost:
-// the first endpoint does not answer, or there is no other way.
-func (w *watchdog) mend(seat *seat) bool {
+// repair moves the request away from a lost endpoint of its chain, or has the endpoints checked
+// when none is known to be lost. It returns false when the attempt is lost: the first endpoint does
+// not answer, or there is no other chain.
+func (w *watchdog) repair(reservation *reservation) bool {
 	now := time.Now()
-	if seat.first.use.down() {
-		w.forsake()
+	if reservation.first.use.down() {
+		w.releaseReservation()
 		return false
 	}
-	for _, b := range seat.parts[1:] {
-		if b.use.dead(now) {
-			return w.move(seat, b)
+	for _, b := range reservation.parts[1:] {
+		if b.use.presumedDead(now) {
+			return w.move(reservation, b)
 		}
 	}
-	w.relay.g.doubt(seat.first, now)
-	for _, b := range seat.parts[1:] {
-		w.relay.g.doubtBehind(b, now)
+	w.relay.g.checkIfUncertain(reservation.first, now)
+	for _, b := range reservation.parts[1:] {
+		w.relay.g.checkBehind(b, now)
 	}
 	return true
 }
 
-// move moves the request to a chain without a lost part. It returns false when
-// there is none, or the request cannot be moved.
-func (w *watchdog) move(seat *seat, lost *backend) bool {
+// move moves the request to a chain without a lost endpoint. It returns false when there is none,
+// or the request cannot be moved.
+func (w *watchdog) move(reservation *reservation, lost *backend) bool {
 	g, q, address := w.relay.g, w.relay.q, lost.Address
 	if !g.maySend(q) {
-		return false // it would end another part
+		return false // it would crash another endpoint
 	}
 	q.avoid(address)
 	for range maxMoves {
-		next, short := g.moveSeat(q, seat, lost)
-		if short == shortageNone && w.faster(seat, next, lost) {
-			next.release() // the try ends
+		next, short := g.reserveMove(q, reservation, lost)
+		if short == shortageNone && w.switchIfFaster(reservation, next, lost) {
+			next.release() // the attempt ends
 			return true
 		}
 		if short != shortageNone {
-			if w.stuckAt != address {
-				w.stuckAt = address
+			if w.unmovableFrom != address {
+				w.unmovableFrom = address
 				g.Log.Info().Str("request", q.ID).Str("lost", address).Str("reason", string(short)).Msg("request cannot be moved")
 			}
 			return false
@@ -362,18 +360,18 @@
 	return false
 }
 
-// replace takes a new seat in place of the former one.
-func (w *watchdog) replace(next *seat) {
+// replace exchanges the reservation for another one.
+func (w *watchdog) replace(next *reservation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ended {
 		next.release()
 		return
 	}
-	w.seat.unwatch(w)
-	w.seat.release()
-	w.seat, w.first = next, time.Time{}
-	w.suspectMoved = w.relay.g.suspected(w.relay.q)
-	next.watch(w)
-	w.relay.q.note("moved: " + next.chain.String())
+	w.reservation.removeWatchdog(w)
+	w.reservation.release()
+	w.reservation, w.first = next, time.Time{}
+	w.movedWhileSuspect = w.relay.g.suspected(w.relay.q)
+	next.addWatchdog(w)
+	w.relay.q.noteUsed("moved: " + next.chain.String())
 }
--- a/role/gateway/watchers.go
+++ b/role/gateway/watchers.go
@@ -10,19 +10,19 @@
 // watchers are the watchdogs of the streams that pass through an endpoint.
 type watchers struct{ set.Set[*watchdog] }
 
-// kick has all of them look soon.
-func (s *watchers) kick() {
+// checkSoon has all watchdogs check soon.
+func (s *watchers) checkSoon() {
 	for _, w := range s.Values() {
-		w.kick()
+		w.checkSoon()
 	}
 }
 
-// begun returns the requests that an endpoint had lately begun to run at now.
+// begun returns the requests that an endpoint had recently started at now.
 func (s *watchers) begun(endpoint string, now time.Time) []suspects.Begun {
 	var list []suspects.Begun
 	for _, w := range s.Values() {
-		if w.begins(now) {
-			list = append(list, suspects.Begun{Print: w.relay.q.print, Tried: w.tries(endpoint)})
+		if w.justStarted(now) {
+			list = append(list, suspects.Begun{Print: w.relay.q.print, Tried: w.runsIsolated(endpoint)})
 		}
 	}
 	return list
