--- a/cmd/grademill-gateway/daemon.go
+++ b/cmd/grademill-gateway/daemon.go
@@ -22,29 +22,30 @@
 	"github.com/grademill/grademill/role/settings"
 )
 
-// The figures of the process.
 const (
-	// heapPercent makes the collector keep a small heap: memory is dearer than
-	// processor time on the users' hosts.
+	// heapPercent is the garbage collection target (GOGC). It is low because
+	// memory is scarcer than processor time on the hosts.
 	heapPercent = 20
-	// logLines is the number of lines that wait for a slow reader of the log;
-	// further ones are dropped and counted.
+	// logLines is the number of log lines buffered for a slow reader; further
+	// lines are dropped and counted.
 	logLines = 2048
-	// lingerWait is how long new connections are still taken after the signal to
-	// stop: the balancer notices within two questions, a second apart.
+	// lingerWait is how long the process accepts new connections after the signal
+	// to stop: the load balancer needs up to two readiness checks, a second apart,
+	// to notice.
 	lingerWait = 2500 * time.Millisecond
-	// stopMargin is kept between the end of the process and its being killed.
+	// stopMargin is the time left between the end of the process and the stop
+	// time-out, after which the process is killed.
 	stopMargin = 500 * time.Millisecond
-	// stopPoll is how often a stopping process looks whether it is idle.
+	// stopPoll is how often a stopping process checks whether it is idle.
 	stopPoll = 20 * time.Millisecond
-	// bytesPerMegabit turns the rate of a link into bytes a second.
+	// bytesPerMegabit converts the rate of a link from Mbit/s to bytes/s.
 	bytesPerMegabit = 1e6 / 8
-	// The values of settings that a file leaves out.
+	// Defaults of settings that the file omits.
 	defaultStopTimeout = 10 * time.Second
 	defaultRetryWindow = 10 * time.Second
 )
 
-// daemon is the process of a gateway.
+// daemon runs a gateway as a process: its servers, log, metrics and signals.
 type daemon struct {
 	path    string
 	file    *settings.File
@@ -54,7 +55,7 @@
 	flush   func()
 }
 
-// newDaemon makes the gateway out of its settings.
+// newDaemon returns a daemon configured by file, which was read from path.
 func newDaemon(path string, file *settings.File) *daemon {
 	debug.SetGCPercent(heapPercent)
 	d := &daemon{path: path, file: file, metrics: meter.NewGateway()}
@@ -77,8 +78,8 @@
 	return d
 }
 
-// openLog makes the log: JSON lines on standard output, through a buffer that
-// never blocks.
+// openLog sets up the log: JSON lines on standard output, through a buffer that
+// drops lines rather than block.
 func (d *daemon) openLog() {
 	dropped := func(n int) { d.metrics.Dropped(n) }
 	out := diode.NewWriter(os.Stdout, logLines, 0, dropped)
@@ -91,7 +92,8 @@
 	d.log = zerolog.New(out).Level(level).With().Timestamp().Str("process", d.file.Name).Logger()
 }
 
-// run serves until the process is told to stop.
+// run serves until SIGTERM or SIGINT, or until a server fails. SIGHUP checks the
+// settings again.
 func (d *daemon) run(ctx context.Context) error {
 	defer d.flush()
 	ctx, cancel := context.WithCancel(ctx)
@@ -135,61 +137,61 @@
 	}
 }
 
-// reload checks the settings again. What they change takes effect with the next
-// start: none of it may change while requests are served.
+// reload validates the settings file again. Changes take effect at the next
+// start: no setting may change while the gateway serves requests.
 func (d *daemon) reload() {
 	file, err := settings.Load(d.path)
 	if err != nil {
-		d.log.Error().Err(err).Msg("settings not understood, the former ones stay in force")
+		d.log.Error().Err(err).Msg("settings are invalid; the previous ones remain in force")
 		return
 	}
 	d.log.Info().Bool("changed", *file.Gateway != *d.file.Gateway).Msg("settings read again")
 }
 
-// stop ends the process without cutting a request: it is not ready at once,
-// takes connections until the balancer has noticed, then closes those that rest,
-// and waits for what runs.
+// stop drains the gateway without aborting requests. It reports not ready at
+// once, accepts connections until the load balancer has noticed, then closes idle
+// connections and waits for running requests until the stop time-out.
 func (d *daemon) stop(callers *ingress.Server) {
-	begun := time.Now()
+	start := time.Now()
 	limit := d.file.Gateway.StopTimeout.Or(defaultStopTimeout) - stopMargin
-	d.log.Info().Int("running", d.gateway.Running()).Msg("gateway stops")
+	d.log.Info().Int("running", d.gateway.Running()).Msg("gateway stopping")
 	d.gateway.Drain()
 	callers.Retire()
 	time.Sleep(min(lingerWait, limit))
 	callers.Stop()
 	for {
-		late := time.Since(begun) >= limit
+		late := time.Since(start) >= limit
 		if (late || callers.Quiet()) && d.gateway.Close(late) {
 			break
 		}
 		time.Sleep(stopPoll)
 	}
-	d.log.Info().Int("running", d.gateway.Running()).Dur("took_ms", time.Since(begun)).Msg("gateway has drained")
+	d.log.Info().Int("running", d.gateway.Running()).Dur("took_ms", time.Since(start)).Msg("gateway drained")
 }
 
-// server returns a server of handler at address.
+// server returns a server of handler at address; limits may be nil.
 func (d *daemon) server(address string, handler http.Handler, limits func() ingress.Limits) *ingress.Server {
 	return &ingress.Server{
 		Address: address, Handler: handler, Limits: limits, ErrorLog: stdlog.New(errorLog{d.log}, "", 0),
 	}
 }
 
-// callerLimits returns what callers may do.
+// callerLimits returns the configured limits on callers' connections.
 func (d *daemon) callerLimits() ingress.Limits {
 	l := d.gateway.CallerLimits()
 	return ingress.Limits{Idle: l.IdleTimeout, HeadBytes: l.HeaderBytes, HeadWait: l.HeaderTimeout}
 }
 
-// errorLog takes the lines of an HTTP server into the log.
+// errorLog forwards the error lines of an HTTP server to the process log.
 type errorLog struct{ log zerolog.Logger }
 
-// Write logs one line.
+// Write logs line at debug level.
 func (l errorLog) Write(line []byte) (int, error) {
-	l.log.Debug().Str("detail", string(line)).Msg("HTTP server")
+	l.log.Debug().Str("detail", string(line)).Msg("HTTP server error")
 	return len(line), nil
 }
 
-// admin serves the metrics.
+// admin returns a handler that serves the metrics.
 func (d *daemon) admin() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(d.metrics.Registry, promhttp.HandlerOpts{}))
--- a/cmd/grademill-gateway/main.go
+++ b/cmd/grademill-gateway/main.go
@@ -1,6 +1,6 @@
-// Command grademill-gateway is the daemon between callers and endpoints that
-// speak HTTP, for the users' platform. It is a program of its own so that a host
-// with little memory does not load what the other roles need.
+// Command grademill-gateway runs the gateway, the daemon between callers and HTTP
+// endpoints. It is separate from grademill so that a host with little memory does
+// not load the code of the other roles.
 package main
 
 import (
@@ -13,14 +13,13 @@
 	"github.com/grademill/grademill/role/settings"
 )
 
-// The exit codes.
 const (
 	exitFailure  = 1
 	exitSettings = 3
 )
 
 func main() {
-	path := flag.String("settings", platform.SettingsPath(), "file of settings")
+	path := flag.String("settings", platform.SettingsPath(), "settings file")
 	flag.Parse()
 	file, err := settings.Load(*path)
 	if err == nil && file.Gateway == nil {
@@ -32,7 +31,7 @@
 	}
 	d := newDaemon(*path, file)
 	if err := d.run(context.Background()); err != nil {
-		d.log.Error().Err(err).Msg("the gateway failed")
+		d.log.Error().Err(err).Msg("process failed")
 		os.Exit(exitFailure)
 	}
 }
--- a/cmd/grademill/check.go
+++ b/cmd/grademill/check.go
@@ -23,18 +23,18 @@
 type checkCommand struct{}
 
 func (*checkCommand) Name() string             { return "check" }
-func (*checkCommand) Synopsis() string         { return "check a file of settings" }
+func (*checkCommand) Synopsis() string         { return "validate a settings file" }
 func (*checkCommand) SetFlags(_ *flag.FlagSet) {}
 
 func (*checkCommand) Usage() string {
-	return "grademill check FILE\n  Checks the settings in FILE and prints the first fault with its line and key.\n" +
-		"  Exit codes: 0 fit for use, 2 wrong arguments, 3 wrong settings.\n"
+	return "grademill check FILE\n  Validates the settings in FILE and prints the first error with its line and key.\n" +
+		"  Exit codes: 0 valid, 2 wrong arguments, 3 invalid settings.\n"
 }
 
 func (*checkCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	file, status := load(f, "")
 	if status == subcommands.ExitSuccess {
-		fmt.Printf("%s: settings for %s %s are fit for use\n", f.Arg(0), file.Role, file.Name)
+		fmt.Printf("%s: settings for %s %s are valid\n", f.Arg(0), file.Role, file.Name)
 	}
 	return status
 }
--- a/cmd/grademill/ctl.go
+++ b/cmd/grademill/ctl.go
@@ -14,7 +14,7 @@
 	"github.com/google/subcommands"
 )
 
-// Exit codes of ctl.
+// Exit codes specific to ctl.
 const (
 	exitRefused  = subcommands.ExitStatus(4)
 	exitNotKnown = subcommands.ExitStatus(5)
@@ -23,8 +23,8 @@
 // ctlTimeout bounds one call of the admin API.
 const ctlTimeout = 10 * time.Second
 
-// keyVariable names the environment variable that holds the operator's key, so
-// that it does not show in the list of processes.
+// keyVariable is the environment variable that holds the operator's key. A
+// command-line argument would show the key in the list of processes.
 const keyVariable = "GRADEMILL_OPERATOR_KEY"
 
 type ctlCommand struct {
@@ -45,8 +45,8 @@
 grademill ctl [-admin URL] write ID
   KIND is services, teams or policies; FILE is JSON, "-" for standard input.
   The operator's key is taken from ` + keyVariable + `.
-  Exit codes: 0 accepted, 1 failed, 2 wrong arguments, 4 refused, 5 not known:
-  ask again with "write ID", or repeat the change with the same -write-id.
+  Exit codes: 0 accepted, 1 failed, 2 wrong arguments, 4 refused, 5 outcome not
+  known: query it with "write ID", or repeat the change with the same -write-id.
 `
 }
 
@@ -77,17 +77,17 @@
 	return subcommands.ExitSuccess
 }
 
-// usageError is a command line that is not understood.
+// usageError reports arguments that do not form a ctl command.
 type usageError struct {
 	args []string
 }
 
-// Error shows the arguments.
+// Error quotes the arguments.
 func (e *usageError) Error() string {
-	return fmt.Sprintf("arguments %q are not understood: see grademill help ctl", e.args)
+	return fmt.Sprintf("invalid arguments %q: see grademill help ctl", e.args)
 }
 
-// parse turns the arguments into a call of the admin API.
+// parse translates the arguments into a request to the admin API.
 func (c *ctlCommand) parse(args []string) (method, path string, body []byte, err error) {
 	if len(args) == 0 {
 		return "", "", nil, &usageError{args}
@@ -109,7 +109,7 @@
 	return "", "", nil, &usageError{args}
 }
 
-// readFile reads a file, or standard input for "-".
+// readFile reads the file at path, or standard input if path is "-".
 func readFile(path string) ([]byte, error) {
 	if path == "-" {
 		return io.ReadAll(os.Stdin)
@@ -117,7 +117,8 @@
 	return os.ReadFile(path)
 }
 
-// call calls the admin API.
+// call sends a request to the admin API and returns the status and body of the
+// answer.
 func (c *ctlCommand) call(ctx context.Context, method, path string, body []byte) (int, string, error) {
 	ctx, cancel := context.WithTimeout(ctx, ctlTimeout)
 	defer cancel()
--- a/cmd/grademill/demo.go
+++ b/cmd/grademill/demo.go
@@ -16,16 +16,16 @@
 }
 
 func (*demoCommand) Name() string     { return "demo" }
-func (*demoCommand) Synopsis() string { return "run the whole path in one process" }
+func (*demoCommand) Synopsis() string { return "run a whole deployment in one process" }
 
 func (c *demoCommand) SetFlags(f *flag.FlagSet) {
-	f.BoolVar(&c.verbose, "v", false, "write the decisions on standard error")
+	f.BoolVar(&c.verbose, "v", false, "log routing decisions to standard error")
 }
 
 func (*demoCommand) Usage() string {
 	return "grademill demo [-v]\n  Runs two entries, agents and stand-ins in one process over loopback, sends\n" +
-		"  requests of both kinds, and kills an agent of the chain that an answer comes\n" +
-		"  along. Fails when the answer is not carried over, or not whole.\n"
+		"  requests of both kinds, and kills an agent on the chain of a streaming answer.\n" +
+		"  Fails if the answer does not resume on another chain, or is incomplete.\n"
 }
 
 func (c *demoCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
--- a/cmd/grademill/explain.go
+++ b/cmd/grademill/explain.go
@@ -12,27 +12,28 @@
 	"github.com/grademill/grademill/decide/story"
 )
 
-// storyBefore is how long before a request what its gateway learnt of the
-// endpoints matters: an endpoint that holds requests up is avoided for at most
-// 12 s.
-const storyBefore = 15 * time.Second
+// defaultLookback is how long before a request the gateways' findings about
+// endpoints still bear on it: a gateway avoids a slow endpoint for at most 12 s.
+const defaultLookback = 15 * time.Second
 
 type explainCommand struct{ before time.Duration }
 
-func (*explainCommand) Name() string     { return "explain" }
-func (*explainCommand) Synopsis() string { return "tell from logs what became of a request, and why" }
+func (*explainCommand) Name() string { return "explain" }
+func (*explainCommand) Synopsis() string {
+	return "explain from logs what happened to a request, and why"
+}
 
 func (*explainCommand) Usage() string {
 	return `grademill explain [-before DURATION] REQUEST FILE...
-  Reads the logs of gateways and prints, in the order of time, each decision about
-  the request and what its gateways came to believe of the endpoints it used; then
-  whether it ran and was acknowledged.
-  Exit codes: 0 told, 1 a log cannot be read, 2 wrong arguments, 4 no such request.
+  Reads gateway logs and prints, in order of time, each decision about the request
+  and what its gateways learnt about the endpoints that it used; then whether it
+  ran and was acknowledged.
+  Exit codes: 0 explained, 1 a log cannot be read, 2 wrong arguments, 4 no such request.
 `
 }
 
 func (c *explainCommand) SetFlags(f *flag.FlagSet) {
-	f.DurationVar(&c.before, "before", storyBefore, "how long before the request beliefs matter")
+	f.DurationVar(&c.before, "before", defaultLookback, "how long before the request to include findings about its endpoints")
 }
 
 func (c *explainCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -48,7 +49,7 @@
 		}
 	}
 	if len(s.Lines()) == 0 {
-		fmt.Fprintf(os.Stderr, "no line names request %s\n", f.Arg(0))
+		fmt.Fprintf(os.Stderr, "no log line mentions request %s\n", f.Arg(0))
 		return exitRefused
 	}
 	if err := s.Write(os.Stdout); err != nil {
@@ -58,16 +59,16 @@
 	return finish(err)
 }
 
-// readLog reads one file into a story.
+// readLog adds the log lines of one file to s.
 func readLog(s *story.Story, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer file.Close() //nolint:errcheck // only read
+	defer file.Close() //nolint:errcheck // opened for reading only
 	skipped, err := s.Read(file)
 	if skipped > 0 {
-		fmt.Fprintf(os.Stderr, "%s: %d lines are no log lines\n", path, skipped)
+		fmt.Fprintf(os.Stderr, "%s: skipped %d lines that are not log lines\n", path, skipped)
 	}
 	return err
 }
--- a/cmd/grademill/main.go
+++ b/cmd/grademill/main.go
@@ -1,4 +1,6 @@
-// Command grademill routes requests to pipelines over mixed accelerators.
+// Command grademill routes inference requests to pipelines over mixed
+// accelerators. Its subcommands run an entry or an agent, check settings, change
+// the configuration, and explain requests from logs.
 package main
 
 import (
@@ -9,14 +11,13 @@
 	"github.com/google/subcommands"
 )
 
-// version is the version of the program.
 const version = "0.1.0"
 
 func main() {
 	os.Exit(int(run()))
 }
 
-// run registers the commands and runs the one that is asked for.
+// run registers the subcommands and executes the one on the command line.
 func run() subcommands.ExitStatus {
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(subcommands.FlagsCommand(), "")
--- a/cmd/grademill/roles.go
+++ b/cmd/grademill/roles.go
@@ -28,10 +28,10 @@
 	"github.com/grademill/grademill/state/replica"
 )
 
-// exitSettings is the exit code for a file of settings that cannot be used.
+// exitSettings is the exit code for an invalid settings file.
 const exitSettings = subcommands.ExitStatus(3)
 
-// The values of settings that a file leaves out.
+// Defaults of settings that the file omits.
 const (
 	defaultDrain       = 2 * time.Minute
 	defaultQueue       = 4096
@@ -54,7 +54,7 @@
 	defaultSessions    = 128
 )
 
-// newLog returns the log of a process, in JSON on standard error.
+// newLog returns the logger of a process, which writes JSON to standard error.
 func newLog(level, name string) zerolog.Logger {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil || level == "" {
@@ -63,10 +63,11 @@
 	return zerolog.New(os.Stderr).Level(parsed).With().Timestamp().Str("process", name).Logger()
 }
 
-// load reads the only argument as a file of settings for a role.
+// load reads the settings file named by the only argument and checks that it is
+// for role, or for any role if role is empty.
 func load(f *flag.FlagSet, role string) (*settings.File, subcommands.ExitStatus) {
 	if f.NArg() != 1 {
-		fmt.Fprintln(os.Stderr, "one file of settings is needed")
+		fmt.Fprintln(os.Stderr, "exactly one settings file is required")
 		return nil, subcommands.ExitUsageError
 	}
 	file, err := settings.Load(f.Arg(0))
@@ -80,7 +81,7 @@
 	return file, subcommands.ExitSuccess
 }
 
-// finish prints the error that ended a role.
+// finish prints err, if any, and returns the exit status.
 func finish(err error) subcommands.ExitStatus {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -97,7 +98,7 @@
 
 func (*entryCommand) Usage() string {
 	return "grademill entry FILE\n  Runs an entry with the settings in FILE until SIGTERM, then drains.\n" +
-		"  Exit codes: 0 stopped, 1 failed, 2 wrong arguments, 3 wrong settings.\n"
+		"  Exit codes: 0 stopped, 1 failed, 2 wrong arguments, 3 invalid settings.\n"
 }
 
 func (*entryCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -108,7 +109,7 @@
 	return finish(newEntry(file).Run(ctx))
 }
 
-// newEntry makes an entry out of its settings.
+// newEntry returns an entry configured by file.
 func newEntry(file *settings.File) *entry.Entry {
 	s := file.Entry
 	log := newLog(file.LogLevel, file.Name)
@@ -117,14 +118,14 @@
 	platform := &platformhttp.Client{Base: s.Platform, Counted: metrics.PlatformCall}
 	e := &entry.Entry{
 		Name: file.Name, Hall: file.Hall, Address: file.Address, Peers: s.Peers,
-		Store: platform, Hosts: platform, Links: linkTimes(s.Links),
-		MaxQueue: or(s.MaxQueue, defaultQueue), MaxDeadline: s.MaxDeadline.Or(defaultDeadline),
+		Store: platform, Hosts: platform, Links: linkLatencies(s.Links),
+		MaxQueue: orDefault(s.MaxQueue, defaultQueue), MaxDeadline: s.MaxDeadline.Or(defaultDeadline),
 		MinStall: s.MinStall.Or(defaultMinStall), MaxStall: s.MaxStall.Or(defaultMaxStall),
 		RecoverWait: s.RecoverWait.Or(defaultRecoverWait), Expiry: s.Expiry.Or(defaultExpiry),
 		Sync: s.Sync.Or(defaultSync), ListEvery: defaultList, Watchers: defaultWatchers,
 		Retries: retry.Budget{
-			Share: or(s.RetryShare, defaultRetryShare), Window: defaultRetryWindow,
-			Reserve: or(s.RetryReserve, defaultReserve),
+			Share: orDefault(s.RetryShare, defaultRetryShare), Window: defaultRetryWindow,
+			Reserve: orDefault(s.RetryReserve, defaultReserve),
 		},
 		ClaimKeep: s.ClaimKeep.Or(defaultClaimKeep), OrderLease: defaultOrderLease,
 		DrainTimeout: file.DrainTimeout.Or(defaultDrain), Meter: metrics, Log: log,
@@ -145,16 +146,16 @@
 	return e
 }
 
-// or returns value, or otherwise when value is zero.
-func or[T comparable](value, otherwise T) T {
+// orDefault returns value, orDefault otherwise when value is zero.
+func orDefault[T comparable](value, fallback T) T {
 	var zero T
 	if value == zero {
-		return otherwise
+		return fallback
 	}
 	return value
 }
 
-// teamOf returns a function that finds the team of a key's hash.
+// teamOf returns a function that maps the hash of a key to its team.
 func teamOf(c *replica.Config) func(string) (string, bool) {
 	return func(hash string) (string, bool) {
 		team, ok := c.Current().TeamByKey[hash]
@@ -170,14 +171,15 @@
 	return byKey
 }
 
-// sameHall and unknownLink are the one-way times where the settings say nothing.
+// One-way latencies of links that the settings omit: within a hall, and between
+// halls.
 const (
-	sameHall    = 100 * time.Microsecond
-	unknownLink = time.Millisecond
+	sameHallLatency    = 100 * time.Microsecond
+	defaultLinkLatency = time.Millisecond
 )
 
-// linkTimes returns the time between halls that the settings give.
-func linkTimes(links []settings.Link) route.Links {
+// linkLatencies returns the one-way latency between halls according to the settings.
+func linkLatencies(links []settings.Link) route.Links {
 	times := make(map[[2]string]time.Duration)
 	for _, l := range links {
 		times[[2]string{l.From, l.To}] = time.Duration(l.Time)
@@ -188,9 +190,9 @@
 			return t
 		}
 		if from == to {
-			return sameHall
+			return sameHallLatency
 		}
-		return unknownLink
+		return defaultLinkLatency
 	}
 }
 
@@ -202,7 +204,7 @@
 
 func (*agentCommand) Usage() string {
 	return "grademill agent FILE\n  Runs an agent with the settings in FILE until SIGTERM, then drains.\n" +
-		"  Exit codes: 0 stopped, 1 failed, 2 wrong arguments, 3 wrong settings.\n"
+		"  Exit codes: 0 stopped, 1 failed, 2 wrong arguments, 3 invalid settings.\n"
 }
 
 func (*agentCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -213,13 +215,13 @@
 	return finish(newAgent(file).Run(ctx))
 }
 
-// newAgent makes an agent out of its settings.
+// newAgent returns an agent configured by file.
 func newAgent(file *settings.File) *agent.Agent {
 	s := file.Agent
 	a := &agent.Agent{
 		Name: file.Name, Hall: file.Hall, Address: file.Address, Service: s.Service, Entries: s.Entries,
-		Subset: or(s.Subset, defaultSubset), Heartbeat: s.Heartbeat.Or(defaultHeartbeat),
-		MaxSessions: or(s.MaxSessions, defaultSessions), WaitFactor: s.WaitFactor,
+		Subset: orDefault(s.Subset, defaultSubset), Heartbeat: s.Heartbeat.Or(defaultHeartbeat),
+		MaxSessions: orDefault(s.MaxSessions, defaultSessions), WaitFactor: s.WaitFactor,
 		DrainTimeout: file.DrainTimeout.Or(defaultDrain), CallKeep: s.CallKeep.Or(defaultCallKeep),
 		Log: newLog(file.LogLevel, file.Name),
 	}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs one of the small stand-ins that tests and trials use in
-// place of the outside systems: the platform, a model engine, a plain service.
+// Command standin runs a stand-in for one of the external systems in tests: the
+// platform, a model engine or a plain service.
 package main
 
 import (
@@ -29,12 +29,12 @@
 	}
 }
 
-// kindError is a stand-in that does not exist.
+// kindError reports an unknown kind of stand-in.
 type kindError string
 
-// Error names the kind.
+// Error names the unknown kind and lists the valid ones.
 func (e kindError) Error() string {
-	return "no stand-in " + string(e) + ": use platform, engine or service"
+	return "unknown stand-in " + string(e) + ": use platform, engine or service"
 }
 
 func run(kind string, args []string) error {
@@ -59,7 +59,7 @@
 }
 
 func platformHandler(f *flag.FlagSet) func() http.Handler {
-	lag := f.Duration("lag", 0, "time until a change of the host list shows")
+	lag := f.Duration("lag", 0, "delay before a change of the host list becomes visible")
 	return func() http.Handler { return (&platform.Store{Lag: *lag}).Handler() }
 }
 
@@ -68,11 +68,11 @@
 	layers := f.Int("layers", 12, "number of layers of the model")
 	first := f.Int("first", 0, "first layer held")
 	end := f.Int("end", 0, "one past the last layer held")
-	base := f.Duration("base", 5*time.Millisecond, "time of a step")
-	perToken := f.Duration("per-token", 50*time.Microsecond, "time added by each position")
-	batch := f.Int("batch", 32, "steps taken together")
-	load := f.Duration("load", time.Second, "time to load a range")
-	prefix := f.Int("prefix-blocks", 0, "size of the prefix cache")
+	base := f.Duration("base", 5*time.Millisecond, "duration of a step")
+	perToken := f.Duration("per-token", 50*time.Microsecond, "duration added by each position")
+	batch := f.Int("batch", 32, "maximum number of steps in a batch")
+	load := f.Duration("load", time.Second, "time to load a range of layers")
+	prefix := f.Int("prefix-blocks", 0, "size of the prefix cache in blocks")
 	return func() http.Handler {
 		e := &engine.Engine{
 			Models: map[string]toy.Model{*name: {Name: *name, Layers: *layers}},
@@ -87,7 +87,7 @@
 }
 
 func serviceHandler(f *flag.FlagSet) func() http.Handler {
-	took := f.Duration("took", 5*time.Millisecond, "time of a call")
+	took := f.Duration("took", 5*time.Millisecond, "duration of a call")
 	return func() http.Handler {
 		s := &service.Service{Took: *took}
 		mux := http.NewServeMux()
