--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a small stand-in for a model engine: it holds a range of
-// layers of a toy model, takes steps in batches, caches prompt prefixes, and
-// records what it ran.
+// Package engine is a stand-in for a model engine: it holds a range of layers of
+// a toy model, runs steps in batches, caches prompt prefixes, and records the
+// steps that it ran. Use an Engine directly in a process, or serve its Handler.
 package engine
 
 import (
@@ -20,52 +20,52 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// Run is one step as it was run.
+// Run describes one step that an engine ran.
 type Run struct {
 	Request  string      `json:"request"`
 	Attempt  uint32      `json:"attempt"`
 	Position uint32      `json:"position"`
 	Count    uint32      `json:"count"`
 	Layers   layer.Range `json:"layers"`
-	// Token is set by the engine that holds the last layer.
+	// Token is the resulting token, set only by the engine that holds the last layer.
 	Token uint32 `json:"token"`
 }
 
-// Work is what an engine has done.
+// Work counts the work that an engine has done.
 type Work struct {
-	// Busy is the time that batches took.
+	// Busy is the total duration of the batches.
 	Busy time.Duration
-	// Positions are those that were not in the prefix cache.
+	// Positions is the number of positions computed, without those found in the prefix cache.
 	Positions uint64
-	// Batches and Steps count what was run.
+	// Batches and Steps are the numbers of batches and steps run.
 	Batches, Steps uint64
 }
 
-// blockPositions is the size of a block of the prefix cache.
+// blockPositions is the number of positions in a block of the prefix cache.
 const blockPositions = 16
 
 // Engine is the stand-in. Set the exported fields before the first use.
 type Engine struct {
-	// Models are the models that the engine can load, by service.
+	// Models holds the models that the engine can load, by service.
 	Models map[string]toy.Model
-	// Service and Layers are what is loaded at the start; empty for nothing.
+	// Service and Layers name the service and the layers that are loaded; empty at the start for none.
 	Service string
 	Layers  layer.Range
-	// Base is the time of a step, and PerToken what each position adds.
+	// Base is the duration of a batch, and PerToken the duration that each computed position adds.
 	Base, PerToken time.Duration
-	// MaxBatch is the number of steps taken together.
+	// MaxBatch is the largest number of steps in a batch, as reported by Status.
 	MaxBatch int
-	// PrefixBlocks is the size of the prefix cache.
+	// PrefixBlocks is the size of the prefix cache in blocks; 0 for no cache.
 	PrefixBlocks int
-	// LoadTime is how long an order to load takes.
+	// LoadTime is the duration of a load.
 	LoadTime time.Duration
-	// Sleep waits; nil means time.Sleep.
+	// Sleep waits for a duration; nil means time.Sleep.
 	Sleep func(time.Duration)
-	// Keep is whether runs are recorded.
+	// Keep is whether the engine records its runs.
 	Keep bool
 
 	device sync.Mutex // held while a batch runs
-	free   time.Time  // when the device has ended its last batch
+	freeAt time.Time  // when the device ends or ended its last batch
 	mu     sync.Mutex // guards what follows
 	term   uint64
 	caches map[session]*state
@@ -80,21 +80,22 @@
 	attempt uint32
 }
 
-// state is the cache of one attempt of one request.
+// state is the cached state of one attempt of one request.
 type state struct {
 	next   uint32
 	layers []toy.Cache
 	prefix uint64
 }
 
-// Status returns what is loaded.
+// Status returns the loaded service and layers, the largest batch and the term of the latest load.
 func (e *Engine) Status(context.Context) (port.Status, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return port.Status{Service: e.Service, Layers: e.Layers, MaxBatch: e.MaxBatch, Term: e.term}, nil
 }
 
-// Load loads layers of a service, unless a higher term has been seen.
+// Load loads layers of a service and drops all caches. It returns a StaleTermError
+// if the engine has seen a higher term, also one that arrives while it loads.
 func (e *Engine) Load(_ context.Context, term uint64, service string, layers layer.Range) error {
 	e.mu.Lock()
 	if term < e.term {
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// Run runs a batch, one after another with other batches.
+// Run runs a batch. Concurrent batches run one after another.
 func (e *Engine) Run(_ context.Context, batch *wire.EngineBatch) (*wire.EngineOutputs, error) {
 	e.device.Lock()
 	defer e.device.Unlock()
@@ -142,20 +143,20 @@
 	return outputs, nil
 }
 
-// catchUp bounds how late a batch may come and still count as having been there
-// when the device became free: a sleep ends late by about that much.
-const catchUp = 2 * time.Millisecond
+// maxLateness is how long after the device became free a batch may arrive and still
+// count as started at that moment: a sleep overshoots by about this much.
+const maxLateness = 2 * time.Millisecond
 
-// occupy sleeps until the device would have run a batch, on a timeline that the
-// lateness of sleeps does not stretch.
+// occupy sleeps until the device would have ended a batch. It keeps the timeline
+// of the device apart from the clock, so that overshooting sleeps do not add up.
 func (e *Engine) occupy(took time.Duration) {
 	now := time.Now()
 	start := now
-	if late := now.Sub(e.free); late < catchUp {
-		start = e.free
+	if late := now.Sub(e.freeAt); late < maxLateness {
+		start = e.freeAt
 	}
-	e.free = start.Add(took)
-	e.sleep(e.free.Sub(now))
+	e.freeAt = start.Add(took)
+	e.sleep(e.freeAt.Sub(now))
 }
 
 // Record returns all runs so far, in order.
@@ -165,7 +166,7 @@
 	return append([]Run(nil), e.record...)
 }
 
-// Work returns what the engine has done so far.
+// Work returns the counts of the engine's work so far.
 func (e *Engine) Work() Work {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -186,8 +187,8 @@
 	}
 }
 
-// step runs one step and returns the positions that were not in the prefix
-// cache; e.mu is held.
+// step runs one step and returns its output and the number of positions that were
+// not in the prefix cache; e.mu is held.
 func (e *Engine) step(s *wire.EngineStep) (*wire.EngineOutput, uint32) {
 	key := session{string(s.GetRequest()), s.GetAttempt()}
 	st := e.caches[key]
@@ -212,11 +213,11 @@
 	}
 	st.next = s.GetPosition() + s.GetCount()
 	output := e.output(model, xs)
-	e.note(s, output)
+	e.recordStep(s, output)
 	return output, fresh
 }
 
-// check returns why a step cannot run, or nothing.
+// check returns why a step cannot run, or "" if it can.
 func (e *Engine) check(s *wire.EngineStep, st *state) string {
 	size := toy.ActivationBytes
 	if e.Layers.First == 0 {
@@ -233,8 +234,8 @@
 	return ""
 }
 
-// uncached returns how many of xs are not covered by cached prefix blocks, and
-// caches the blocks.
+// uncached returns the number of positions of xs that cached prefix blocks do not
+// cover, at least 1, and adds the blocks to the cache.
 func (e *Engine) uncached(st *state, xs []uint64) uint32 {
 	fresh := uint32(len(xs))
 	if e.PrefixBlocks == 0 || len(xs) < blockPositions {
@@ -251,7 +252,9 @@
 	return max(fresh, 1)
 }
 
-// touch reports whether a block is cached and makes it the latest one.
+// touch reports whether a block is cached, and makes it the most recently used
+// one. A block that is not cached is added, in place of the least recently used
+// one if the cache is full.
 func (e *Engine) touch(block uint64) bool {
 	if e.blocks == nil {
 		e.blocks = make(map[uint64]*list.Element)
@@ -268,7 +271,8 @@
 	return false
 }
 
-// output makes the payload for the next stage, or the token.
+// output returns the activations for the next stage or, after the last layer, the
+// token.
 func (e *Engine) output(model toy.Model, xs []uint64) *wire.EngineOutput {
 	if e.Layers.End == model.Layers {
 		return &wire.EngineOutput{Token: toy.Token(xs[len(xs)-1])}
@@ -280,7 +284,7 @@
 	return &wire.EngineOutput{Payload: payload}
 }
 
-func (e *Engine) note(s *wire.EngineStep, output *wire.EngineOutput) {
+func (e *Engine) recordStep(s *wire.EngineStep, output *wire.EngineOutput) {
 	if !e.Keep {
 		return
 	}
@@ -294,7 +298,7 @@
 	})
 }
 
-// decode returns the activations of a payload.
+// decode returns the activations of a payload, which holds tokens if first is set.
 func decode(payload []byte, first bool) []uint64 {
 	if !first {
 		xs := make([]uint64, len(payload)/toy.ActivationBytes)
--- a/standin/engine/handler.go
+++ b/standin/engine/handler.go
@@ -13,15 +13,15 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// Order is the body of an order to load.
+// Order is the body of a request to load layers of a service.
 type Order struct {
 	Term    uint64      `json:"term"`
 	Service string      `json:"service"`
 	Layers  layer.Range `json:"layers"`
 }
 
-// Handler serves the engine's protocol: POST /v1/steps, GET /v1/status,
-// POST /v1/load and, for tests, GET /v1/record.
+// Handler returns a handler of the engine's protocol: POST /v1/steps,
+// GET /v1/status, POST /v1/load and, for tests, GET /v1/record.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/steps", e.serveSteps)
--- a/standin/platform/handler.go
+++ b/standin/platform/handler.go
@@ -13,7 +13,7 @@
 	"github.com/grademill/grademill/port/kv"
 )
 
-// The names of the methods that the handler serves, below /v1/.
+// Paths of the methods that the handler serves.
 const (
 	PathGet       = "/v1/get"
 	PathList      = "/v1/list"
@@ -25,8 +25,9 @@
 	PathHosts     = "/v1/hosts"
 )
 
-// Handler serves the store's protocol: JSON bodies by POST. For tests there
-// are /test/fault, /test/hosts and /test/calls.
+// Handler returns a handler of the store's protocol: POST requests with JSON
+// bodies. Tests use /test/fault to inject faults, /test/hosts to set the host list
+// and /test/calls to count the calls.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+PathGet, func(w http.ResponseWriter, r *http.Request) {
@@ -77,7 +78,8 @@
 	})
 }
 
-// serve decodes the body, calls answer, and encodes what it returns.
+// serve decodes the request body, calls answer, and encodes its reply, or maps its
+// error to a status.
 func serve[Req, Rep any](w http.ResponseWriter, r *http.Request, answer func(Req) (Rep, error)) {
 	var request Req
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -1,5 +1,6 @@
-// Package platform is a small stand-in for the platform's key-value service
-// and its list of hosts, with the faults that the real ones have.
+// Package platform is a stand-in for the platform's key-value service and its
+// list of hosts. Use a Store directly in a process, or serve its Handler; SetFault
+// makes it fail as the real service can.
 package platform
 
 import (
@@ -16,26 +17,26 @@
 	"github.com/grademill/grademill/port/kv"
 )
 
-// MaxValue is the size of the largest value.
+// MaxValue is the largest size of a value in bytes.
 const MaxValue = 1 << 20
 
-// watchTime is how long a watch waits before it returns nothing.
-const watchTime = 20 * time.Second
+// watchTimeout is how long a watch waits for a change before it returns none.
+const watchTimeout = 20 * time.Second
 
-// Fault is what the store does wrong now. The zero Fault does nothing wrong.
+// Fault describes how the store fails. The zero Fault is no fault.
 type Fault struct {
-	// Down fails every call without effect.
+	// Down makes every call fail without effect.
 	Down bool `json:"down"`
-	// LoseAnswers lets writes take effect and fails their answers.
+	// LoseAnswers makes writes take effect but return an error.
 	LoseAnswers bool `json:"lose_answers"`
 	// Delay is added to each call.
 	Delay time.Duration `json:"delay"`
 }
 
-// faultError is a call that the store failed on purpose.
+// faultError is the cause of an injected failure.
 type faultError string
 
-// Error returns the fault.
+// Error returns the cause.
 func (e faultError) Error() string {
 	return string(e)
 }
@@ -45,36 +46,37 @@
 	errLost = faultError("answer was lost")
 )
 
-// Store is the stand-in. The zero Store is empty and ready.
+// Store is the stand-in for the key-value service and the list of hosts. The zero
+// Store is empty and ready to use.
 type Store struct {
-	// Lag is how long a change of the host list takes to show.
+	// Lag is the delay before a change of the host list becomes visible.
 	Lag time.Duration
 
-	mu       sync.Mutex
-	revision uint64
-	pairs    map[string]kv.Pair
-	gone     map[string]uint64
-	leases   map[string]*lease
-	changed  chan struct{}
-	fault    Fault
-	calls    map[string]int
-	hosts    []hosts.Host
-	former   []hosts.Host
-	shown    time.Time
+	mu        sync.Mutex
+	revision  uint64
+	pairs     map[string]kv.Pair
+	deleted   map[string]uint64
+	leases    map[string]*lease
+	changed   chan struct{}
+	fault     Fault
+	calls     map[string]int
+	hosts     []hosts.Host
+	previous  []hosts.Host
+	visibleAt time.Time
 }
 
 type lease struct {
-	ttl  time.Duration
-	ends time.Time
-	keys map[string]bool
+	ttl     time.Duration
+	expires time.Time
+	keys    map[string]bool
 }
 
-// SetFault makes the store go wrong from now on.
+// SetFault sets the fault of all calls from now on.
 func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
-	s.wake()
+	s.notifyWatches()
 }
 
 // Calls returns the number of calls so far, by kind.
@@ -88,16 +90,16 @@
 	return calls
 }
 
-// SetHosts replaces the list of hosts; it shows after Lag.
+// SetHosts replaces the list of hosts; the new list becomes visible after Lag.
 func (s *Store) SetHosts(list []hosts.Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.former = s.visible()
+	s.previous = s.visible()
 	s.hosts = list
-	s.shown = time.Now().Add(s.Lag)
+	s.visibleAt = time.Now().Add(s.Lag)
 }
 
-// Hosts returns the list of hosts as it shows now.
+// Hosts returns the list of hosts that is visible now.
 func (s *Store) Hosts(ctx context.Context) ([]hosts.Host, error) {
 	if _, err := s.begin(ctx, "hosts"); err != nil {
 		return nil, err
@@ -107,20 +109,20 @@
 }
 
 func (s *Store) visible() []hosts.Host {
-	if time.Now().Before(s.shown) {
-		return s.former
+	if time.Now().Before(s.visibleAt) {
+		return s.previous
 	}
 	return s.hosts
 }
 
-// begin counts a call, lets the fault act, and returns with s.mu held unless it
+// begin counts a call and applies the fault. It returns with s.mu held unless it
 // returns an error.
 func (s *Store) begin(ctx context.Context, kind string) (Fault, error) {
 	s.mu.Lock()
 	if s.calls == nil {
 		s.calls = make(map[string]int)
 		s.pairs = make(map[string]kv.Pair)
-		s.gone = make(map[string]uint64)
+		s.deleted = make(map[string]uint64)
 		s.leases = make(map[string]*lease)
 		s.changed = make(chan struct{})
 	}
@@ -138,11 +140,11 @@
 		return fault, trace.Wrap(&kv.UnavailableError{Err: errDown})
 	}
 	s.mu.Lock()
-	s.lapse()
+	s.expireLeases()
 	return fault, nil
 }
 
-// Get returns a pair.
+// Get returns the pair of a key, or a NotFoundError.
 func (s *Store) Get(ctx context.Context, key string) (kv.Pair, error) {
 	if _, err := s.begin(ctx, "get"); err != nil {
 		return kv.Pair{}, err
@@ -155,7 +157,8 @@
 	return pair, nil
 }
 
-// List returns pairs in the order of their keys.
+// List returns at most limit pairs with a prefix, in the order of their keys, from
+// the first key after the given one.
 func (s *Store) List(ctx context.Context, prefix, after string, limit int) ([]kv.Pair, error) {
 	if _, err := s.begin(ctx, "list"); err != nil {
 		return nil, err
@@ -171,7 +174,8 @@
 	return list[:min(len(list), limit)], nil
 }
 
-// Put writes a pair if its condition holds.
+// Put writes a pair if the key is at the revision w.If, 0 if it must not exist, and
+// returns the new revision. Otherwise it returns a ConflictError.
 func (s *Store) Put(ctx context.Context, w kv.Write) (uint64, error) {
 	fault, err := s.begin(ctx, "put")
 	if err != nil {
@@ -194,15 +198,15 @@
 	s.revision++
 	value := append([]byte(nil), w.Value...)
 	s.pairs[w.Key] = kv.Pair{Key: w.Key, Value: value, Revision: s.revision}
-	delete(s.gone, w.Key)
-	s.wake()
+	delete(s.deleted, w.Key)
+	s.notifyWatches()
 	if fault.LoseAnswers {
 		return 0, trace.Wrap(&kv.UnavailableError{Err: errLost})
 	}
 	return s.revision, nil
 }
 
-// Delete removes a pair.
+// Delete removes a pair if it is at a revision, and returns a ConflictError otherwise.
 func (s *Store) Delete(ctx context.Context, key string, revision uint64) error {
 	fault, err := s.begin(ctx, "delete")
 	if err != nil {
@@ -219,9 +223,10 @@
 	return nil
 }
 
-// Watch waits for changes under prefix.
+// Watch waits for changes under prefix after a revision and returns them in order.
+// It returns none if watchTimeout passes without one.
 func (s *Store) Watch(ctx context.Context, prefix string, revision uint64) ([]kv.Pair, error) {
-	timeout := time.NewTimer(watchTime)
+	timeout := time.NewTimer(watchTimeout)
 	defer timeout.Stop()
 	for first := true; ; first = false {
 		kind := "watch"
@@ -231,11 +236,11 @@
 		if _, err := s.begin(ctx, kind); err != nil {
 			return nil, err
 		}
-		news := s.since(prefix, revision)
+		changes := s.since(prefix, revision)
 		changed := s.changed
 		s.mu.Unlock()
-		if len(news) > 0 {
-			return news, nil
+		if len(changes) > 0 {
+			return changes, nil
 		}
 		select {
 		case <-ctx.Done():
@@ -247,24 +252,24 @@
 	}
 }
 
-// since returns what changed under prefix after revision, in order.
+// since returns the changes under prefix after revision, in order.
 func (s *Store) since(prefix string, revision uint64) []kv.Pair {
-	var news []kv.Pair
+	var changes []kv.Pair
 	for key, pair := range s.pairs {
 		if pair.Revision > revision && strings.HasPrefix(key, prefix) {
-			news = append(news, pair)
+			changes = append(changes, pair)
 		}
 	}
-	for key, gone := range s.gone {
-		if gone > revision && strings.HasPrefix(key, prefix) {
-			news = append(news, kv.Pair{Key: key, Revision: gone, Deleted: true})
+	for key, deleted := range s.deleted {
+		if deleted > revision && strings.HasPrefix(key, prefix) {
+			changes = append(changes, kv.Pair{Key: key, Revision: deleted, Deleted: true})
 		}
 	}
-	sort.Slice(news, func(i, j int) bool { return news[i].Revision < news[j].Revision })
-	return news
+	sort.Slice(changes, func(i, j int) bool { return changes[i].Revision < changes[j].Revision })
+	return changes
 }
 
-// Grant makes a lease.
+// Grant creates a lease that expires after ttl without renewal, and returns its ID.
 func (s *Store) Grant(ctx context.Context, ttl time.Duration) (string, error) {
 	if _, err := s.begin(ctx, "grant"); err != nil {
 		return "", err
@@ -272,11 +277,11 @@
 	defer s.mu.Unlock()
 	s.revision++
 	id := fmt.Sprintf("lease-%d", s.revision)
-	s.leases[id] = &lease{ttl: ttl, ends: time.Now().Add(ttl), keys: make(map[string]bool)}
+	s.leases[id] = &lease{ttl: ttl, expires: time.Now().Add(ttl), keys: make(map[string]bool)}
 	return id, nil
 }
 
-// KeepAlive renews a lease.
+// KeepAlive renews a lease for its time to live.
 func (s *Store) KeepAlive(ctx context.Context, id string) error {
 	if _, err := s.begin(ctx, "keepalive"); err != nil {
 		return err
@@ -286,15 +291,15 @@
 	if held == nil {
 		return trace.Wrap(&kv.NotFoundError{Key: id})
 	}
-	held.ends = time.Now().Add(held.ttl)
+	held.expires = time.Now().Add(held.ttl)
 	return nil
 }
 
-// lapse removes the keys of leases that ran out.
-func (s *Store) lapse() {
+// expireLeases removes expired leases and their keys; s.mu is held.
+func (s *Store) expireLeases() {
 	now := time.Now()
 	for id, held := range s.leases {
-		if now.Before(held.ends) {
+		if now.Before(held.expires) {
 			continue
 		}
 		for key := range held.keys {
@@ -307,12 +312,12 @@
 func (s *Store) remove(key string) {
 	s.revision++
 	delete(s.pairs, key)
-	s.gone[key] = s.revision
-	s.wake()
+	s.deleted[key] = s.revision
+	s.notifyWatches()
 }
 
-// wake lets watches look again.
-func (s *Store) wake() {
+// notifyWatches makes the waiting watches check for changes; s.mu is held.
+func (s *Store) notifyWatches() {
 	if s.changed == nil {
 		return
 	}
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,5 +1,6 @@
-// Package service is a small stand-in for a plain service, such as membership
-// records: it runs each call it gets, checks nobody, and records what it ran.
+// Package service is a stand-in for a plain service, such as membership records:
+// it runs every call without authentication and records it. Serve a Service as an
+// HTTP handler and read its Record.
 package service
 
 import (
@@ -10,7 +11,7 @@
 	"time"
 )
 
-// Run is one call as it was run.
+// Run describes one call that the service ran.
 type Run struct {
 	Key    string `json:"key"`
 	Method string `json:"method"`
@@ -18,16 +19,16 @@
 	Body   string `json:"body"`
 }
 
-// Service is the stand-in. Set the exported fields before the first use.
+// Service is the stand-in for a plain service. Set the exported fields before the first use.
 type Service struct {
-	// Took is how long a call takes. A call counts as run when it starts.
+	// Took is the duration of a call. A call counts as run when it starts.
 	Took time.Duration
 
 	mu   sync.Mutex
 	runs []Run
 }
 
-// ServeHTTP runs a call and answers with its number and body.
+// ServeHTTP records a call and, after Took, answers with its number and body.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/standin/site/endpoint.go
+++ b/standin/site/endpoint.go
@@ -11,82 +11,83 @@
 	"time"
 )
 
-// Mode is how an endpoint treats the requests that come.
+// Mode is how an endpoint handles a request.
 type Mode int
 
-// The modes.
 const (
-	// Serve answers as it should.
+	// Serve answers correctly.
 	Serve Mode = iota
-	// Refuse answers that it has not run the request.
+	// Refuse answers 503 with the header that vouches that the request has not run.
 	Refuse
 	// Fail runs the request and answers 500.
 	Fail
-	// FailAsRefusal runs the request and answers 503 without a proof of not
-	// having run it.
+	// FailAsRefusal runs the request and answers 503 without the header that
+	// vouches that it has not run.
 	FailAsRefusal
 	// Lose runs the request and closes the connection without an answer.
 	Lose
-	// Hang runs the request and gives no answer.
+	// Hang runs the request and never completes the answer.
 	Hang
-	// Cut runs the request and closes the connection inside the answer.
+	// Cut runs the request and closes the connection in the middle of the answer.
 	Cut
-	// Unsigned answers without vouching for the answer.
+	// Unsigned answers without the X-Response-Seal header.
 	Unsigned
-	// Twice sends an answer of another request before its own.
+	// Twice sends an answer to another request before the right one.
 	Twice
-	// Drop runs a stream and ends its connection before the first event.
+	// Drop runs a stream and closes the connection before the first event.
 	Drop
 )
 
-// Endpoint is one life of a back end. Set the exported fields before Listen.
+// Endpoint is one incarnation of a back end. Set the exported fields before it is
+// passed to Site.Start or Site.Open.
 type Endpoint struct {
 	ID string
-	// Born is when it started, in milliseconds of Unix time; 0 when it does not say.
+	// Born is when the endpoint started, in milliseconds of Unix time; 0 if its record and
+	// reports omit it.
 	Born    int64
 	Service string
 	Hall    string
-	// Card is its kind of accelerator, empty for a plain endpoint.
+	// Card is the kind of accelerator, empty for a plain endpoint.
 	Card string
-	// Slots is the number of requests that it says it runs together, 0 for 64.
+	// Slots is the number of concurrent requests given in the endpoint's record; 0 for 64.
 	Slots int
-	// EventEvery is the time between two events of a stream.
+	// EventEvery is the interval between two events of a stream.
 	EventEvery time.Duration
-	// ReportLag is how long ago its reports tell of.
+	// ReportLag is how long a stream must have stalled before a report shows it.
 	ReportLag time.Duration
-	// Site knows the other endpoints.
+	// Site gives access to the other endpoints; Site.Open sets it.
 	Site *Site
 
-	// Public is where others reach the endpoint; empty for the address at which
-	// it listens.
+	// Public is the address at which others reach the endpoint; empty for the
+	// address at which it listens.
 	Public string
 
 	address string
 
 	mu sync.Mutex // guards what follows
-	// mode is that of requests for which the site has none.
+	// mode applies to requests for which Site.Next has set none.
 	mode Mode
 	ran  map[string]int
 	seen []*http.Request
-	// arrived are the times of the requests in seen.
+	// arrived holds the arrival times of the requests in seen.
 	arrived []time.Time
 	dead    bool
-	// running are the streams that run, by request, with their chains, and bodies their bodies.
-	running map[string][]part
+	// running holds the chains of running streams, and bodies the bodies of streams, by request.
+	running map[string][]stage
 	bodies  map[string]string
-	// stalled are the times at which streams came to stand still, by request.
+	// stalled holds the times at which streams stalled, by request.
 	stalled map[string]time.Time
 	layers  [2]int
 	orders  uint64
 	fence   uint64
-	// says is what it says of the requests that it takes, namedAt when it first named the limit.
-	says    Says
-	namedAt time.Time
-	// left counts the requests whose caller closed the connection.
-	left int
+	// signals is what the endpoint reports in its answers, and limitSentAt when it first sent the limit.
+	signals     Says
+	limitSentAt time.Time
+	// disconnects counts the requests whose caller closed the connection while they ran.
+	disconnects int
 }
 
-// Address returns where others reach the endpoint.
+// Address returns the address at which others reach the endpoint.
 func (e *Endpoint) Address() string {
 	if e.Public != "" {
 		return e.Public
@@ -94,15 +95,14 @@
 	return e.address
 }
 
-// Stay sets the mode of all requests from now on.
+// Stay sets the mode of all further requests for which Site.Next has set none.
 func (e *Endpoint) Stay(mode Mode) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.mode = mode
 }
 
-// Next returns another life of the endpoint, which starts under the same ID and knows nothing
-// of this one.
+// Next returns the next incarnation of the endpoint, with the same ID and none of the state.
 func (e *Endpoint) Next() *Endpoint {
 	return &Endpoint{
 		ID: e.ID, Born: e.BornAt() + 1, Service: e.Service, Hall: e.Hall, Card: e.Card, Slots: e.Slots,
@@ -110,36 +110,36 @@
 	}
 }
 
-// BornAt returns when the endpoint started, as it says.
+// BornAt returns when the endpoint started, by its own account, in milliseconds of Unix time.
 func (e *Endpoint) BornAt() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.Born
 }
 
-// Kill makes the endpoint silent for good: it answers nothing, and the streams
-// that pass through it stand still.
+// Kill makes the endpoint unresponsive: it answers nothing, and the streams that
+// pass through it stall.
 func (e *Endpoint) Kill() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dead = true
 }
 
-// Revive makes a silent endpoint answer again.
+// Revive makes a killed endpoint answer again.
 func (e *Endpoint) Revive() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dead = false
 }
 
-// Ran returns how often a request ran.
+// Ran returns how many times the request with an ID ran.
 func (e *Endpoint) Ran(id string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.ran[id]
 }
 
-// Seen returns the requests that arrived.
+// Seen returns the requests that arrived, in order.
 func (e *Endpoint) Seen() []*http.Request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -157,10 +157,10 @@
 func (e *Endpoint) Left() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.left
+	return e.disconnects
 }
 
-// Layers returns the layers held.
+// Layers returns the range of layers that the endpoint holds, to excluded.
 func (e *Endpoint) Layers() (from, to int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -185,13 +185,13 @@
 	if err != nil {
 		return
 	}
-	mode := e.arrive(r)
+	mode := e.recordArrival(r)
 	if want := r.Header.Get("X-Expect-Instance"); want != "" && want != e.ID {
 		w.Header().Set("X-Instance-Id", e.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if away := e.say(w.Header()); away || mode == Refuse {
+	if refused := e.setSignalHeaders(w.Header()); refused || mode == Refuse {
 		w.Header().Set("X-Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -200,8 +200,8 @@
 		e.stream(w, r, body, mode)
 		return
 	}
-	e.run(r)
-	e.Site.doom(e, body)
+	e.recordRun(r)
+	e.Site.crashIfMarked(e, body)
 	e.answer(w, r, body, mode)
 }
 
@@ -211,8 +211,8 @@
 	return e.dead
 }
 
-// arrive notes a request and returns its mode.
-func (e *Endpoint) arrive(r *http.Request) Mode {
+// recordArrival records a request and returns its mode.
+func (e *Endpoint) recordArrival(r *http.Request) Mode {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.seen = append(e.seen, r.Clone(context.Background()))
@@ -223,8 +223,8 @@
 	return e.mode
 }
 
-// run notes that a request ran.
-func (e *Endpoint) run(r *http.Request) {
+// recordRun records that a request ran.
+func (e *Endpoint) recordRun(r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ran == nil {
@@ -233,12 +233,12 @@
 	e.ran[r.Header.Get("X-Request-Id")]++
 }
 
-// Echo is the body of the answer to a request.
+// Echo returns the body of the answer to a request for a plain service.
 func Echo(method, target string, body []byte) string {
 	return fmt.Sprintf("%s %s %d %s", method, target, len(body), body)
 }
 
-// answer answers a request of a plain service.
+// answer answers a request for a plain service according to mode.
 func (e *Endpoint) answer(w http.ResponseWriter, r *http.Request, body []byte, mode Mode) {
 	text := Echo(r.Method, r.RequestURI, body)
 	h := w.Header()
@@ -251,7 +251,7 @@
 		panic(http.ErrAbortHandler)
 	case Hang:
 		<-r.Context().Done()
-		e.noteLeft()
+		e.countDisconnect()
 		return
 	case Unsigned:
 		h.Del("X-Response-Seal")
@@ -267,11 +267,11 @@
 		answerTwice(w, r, text)
 		return
 	}
-	_, _ = io.WriteString(w, text) // the caller may have left
+	_, _ = io.WriteString(w, text) // the caller may have closed the connection
 }
 
-// answerTwice writes an answer of another request and then the right one, on the
-// bare connection.
+// answerTwice writes an answer to another request and then the right one to the
+// hijacked connection.
 func answerTwice(w http.ResponseWriter, r *http.Request, text string) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -283,28 +283,28 @@
 	_, _ = fmt.Fprintf(c, head, r.Header.Get("X-Request-Id"), len(text), text)
 }
 
-func (e *Endpoint) noteLeft() {
+func (e *Endpoint) countDisconnect() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.left++
+	e.disconnects++
 }
 
-// part is a part of a chain.
-type part struct {
+// stage is one stage of a chain: an endpoint and the layers that it runs.
+type stage struct {
 	address  string
 	from, to int
-	// born is the life that the part runs in.
+	// born identifies the incarnation of the endpoint that runs the stage.
 	born int64
 }
 
-// parseChain reads the header that names the chain.
-func parseChain(text string) ([]part, error) {
-	var parts []part
+// parseChain parses the Path header, which names the chain.
+func parseChain(text string) ([]stage, error) {
+	var parts []stage
 	for _, one := range strings.Split(text, ",") {
-		var p part
+		var p stage
 		address, layers, ok := strings.Cut(one, "=")
 		if n, err := fmt.Sscanf(layers, "%d-%d", &p.from, &p.to); !ok || err != nil || n != 2 {
-			return nil, fmt.Errorf("part %q of a chain", one)
+			return nil, fmt.Errorf("invalid stage %q of a chain", one)
 		}
 		p.address = address
 		parts = append(parts, p)
@@ -312,7 +312,7 @@
 	return parts, nil
 }
 
-// Running returns the number of streams that the endpoint is the first part of.
+// Running returns the number of running streams that have the endpoint as first stage.
 func (e *Endpoint) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/site/model.go
+++ b/standin/site/model.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// StallTime is how long a stream waits for a dead endpoint before it is cut.
+// StallTime is how long a stream waits for a dead endpoint before its connection is aborted.
 const StallTime = 3 * time.Second
 
-// Event returns the text of an event of a stream.
+// Event returns the text of the n-th event of a stream.
 func Event(n int) string {
 	return fmt.Sprintf("id: %d\ndata: token %d\n\n", n, n)
 }
 
 // events returns the number of events that a request asks for: the second number
-// of its token usage.
+// in its X-Token-Usage header.
 func events(r *http.Request) int {
 	_, most, _ := strings.Cut(r.Header.Get("X-Token-Usage"), ",")
 	n, err := strconv.Atoi(most)
@@ -28,7 +28,8 @@
 	return n
 }
 
-// stream answers a request of a model along its chain.
+// stream answers a request for a model with a stream of events, along the chain
+// that the request names.
 func (e *Endpoint) stream(w http.ResponseWriter, r *http.Request, body []byte, mode Mode) {
 	id := r.Header.Get("X-Request-Id")
 	chain, err := parseChain(r.Header.Get("Path"))
@@ -37,14 +38,14 @@
 		return
 	}
 	e.Site.check(id, chain)
-	if blamed, status := e.Site.lacks(chain); status != 0 {
+	if blamed, status := e.Site.firstUnavailable(chain); status != 0 {
 		w.Header().Set("At-Server", blamed)
 		w.Header().Set("X-Not-Executed", "1")
 		w.WriteHeader(status)
 		return
 	}
-	e.run(r)
-	e.Site.doom(e, body)
+	e.recordRun(r)
+	e.Site.crashIfMarked(e, body)
 	e.setBody(id, string(body))
 	e.setRunning(id, chain)
 	defer e.setRunning(id, nil)
@@ -66,7 +67,7 @@
 	last := events(r)
 	for n := after + 1; n <= last; n++ {
 		if !e.wait(r, id) {
-			e.noteLeft()
+			e.countDisconnect()
 			panic(http.ErrAbortHandler)
 		}
 		text := Event(n)
@@ -77,7 +78,7 @@
 		}
 		if mode == Hang && n == after+2 {
 			<-r.Context().Done()
-			e.noteLeft()
+			e.countDisconnect()
 			return
 		}
 		_, _ = w.Write([]byte(text))
@@ -85,9 +86,9 @@
 	}
 }
 
-// wait waits for the next event: for its time, and while a part of the chain is
-// dead. It returns false when the caller has left or the stream stood still for
-// too long.
+// wait waits until the next event is due and every stage of the chain is alive.
+// It returns false if the caller has closed the connection or the stream has
+// stalled for longer than StallTime.
 func (e *Endpoint) wait(r *http.Request, id string) bool {
 	const poll = 5 * time.Millisecond
 	stalled := time.Duration(0)
@@ -98,10 +99,10 @@
 			break
 		}
 		if e.stalledAt(id) == "" {
-			e.noteStall(id, false)
+			e.recordStall(id, false)
 			return true
 		}
-		e.noteStall(id, true)
+		e.recordStall(id, true)
 		time.Sleep(poll)
 		if stalled += poll; stalled > StallTime {
 			return false
@@ -110,8 +111,8 @@
 	return false
 }
 
-// stalledAt returns the address of a dead part of a stream's chain, empty for
-// none.
+// stalledAt returns the address of a dead stage of a stream's chain, or "" if all
+// are alive. A stage whose endpoint has restarted since the stream began is dead.
 func (e *Endpoint) stalledAt(id string) string {
 	e.mu.Lock()
 	chain := e.running[id]
@@ -120,33 +121,34 @@
 		if p.address == e.Address() {
 			continue
 		}
-		if other := e.Site.at(p.address); other == nil || other.isDead() || other.BornAt() != p.born {
+		if other := e.Site.endpointAt(p.address); other == nil || other.isDead() || other.BornAt() != p.born {
 			return p.address
 		}
 	}
 	return ""
 }
 
-// noteStall notes when a stream came to stand still.
-func (e *Endpoint) noteStall(id string, stands bool) {
+// recordStall records since when a stream has stalled, or that it no longer does.
+func (e *Endpoint) recordStall(id string, isStalled bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.stalled == nil {
 		e.stalled = make(map[string]time.Time)
 	}
-	if !stands {
+	if !isStalled {
 		delete(e.stalled, id)
 	} else if e.stalled[id].IsZero() {
 		e.stalled[id] = time.Now()
 	}
 }
 
-// reportsStall reports whether a report of now tells that a stream stands still.
+// reportsStall reports whether a stall of a stream is old enough, at ReportLag, to
+// show in a report.
 func (e *Endpoint) reportsStall(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	since, stands := e.stalled[id]
-	return e.ReportLag == 0 || stands && time.Since(since) >= e.ReportLag
+	since, isStalled := e.stalled[id]
+	return e.ReportLag == 0 || isStalled && time.Since(since) >= e.ReportLag
 }
 
 func (e *Endpoint) setBody(id, body string) {
@@ -158,25 +160,25 @@
 	e.bodies[id] = body
 }
 
-func (e *Endpoint) setRunning(id string, chain []part) {
+func (e *Endpoint) setRunning(id string, chain []stage) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.running == nil {
-		e.running = make(map[string][]part)
+		e.running = make(map[string][]stage)
 	}
 	if chain == nil {
 		delete(e.running, id)
 		return
 	}
 	for i, p := range chain {
-		if other := e.Site.at(p.address); other != nil && other != e {
+		if other := e.Site.endpointAt(p.address); other != nil && other != e {
 			chain[i].born = other.BornAt()
 		}
 	}
 	e.running[id] = chain
 }
 
-// report answers the question for the state.
+// report answers a request for the endpoint's state.
 func (e *Endpoint) report(w http.ResponseWriter) {
 	e.mu.Lock()
 	var ids []string
@@ -198,10 +200,10 @@
 		}
 	}
 	doc["stalled"] = stalled
-	_ = json.NewEncoder(w).Encode(doc) // the caller may have left
+	_ = json.NewEncoder(w).Encode(doc) // the caller may have closed the connection
 }
 
-// orderDoc is an order.
+// orderDoc is the body of an order from the leader.
 type orderDoc struct {
 	Op    string  `json:"op"`
 	Fence uint64  `json:"fence"`
@@ -212,7 +214,7 @@
 	Path  string  `json:"path"`
 }
 
-// order carries an order out.
+// order executes an order to place layers or to move a stream.
 func (e *Endpoint) order(w http.ResponseWriter, r *http.Request) {
 	var doc orderDoc
 	if err := json.NewDecoder(r.Body).Decode(&doc); err != nil {
@@ -229,7 +231,8 @@
 	}
 }
 
-// place takes other layers.
+// place makes the endpoint hold other layers, unless the order is outdated, and
+// returns the status of the answer.
 func (e *Endpoint) place(doc orderDoc) int {
 	e.mu.Lock()
 	switch {
@@ -248,8 +251,8 @@
 	return http.StatusAccepted
 }
 
-// Restart has the endpoint start anew behind its old record: it holds no layers, knows nothing
-// of what passed through it, and does not say so to the store.
+// Restart simulates a restart that leaves the endpoint's record in the store unchanged: the new
+// incarnation holds no layers and knows nothing of the streams that passed through the old one.
 func (e *Endpoint) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -259,24 +262,24 @@
 	e.layers, e.orders, e.fence = [2]int{}, 0, 0
 }
 
-// move moves a stream to another chain.
+// move switches a running stream to another chain.
 func (e *Endpoint) move(w http.ResponseWriter, doc orderDoc) {
 	chain, err := parseChain(doc.Path)
 	e.mu.Lock()
-	former, runs := e.running[doc.ID]
+	previous, found := e.running[doc.ID]
 	body := e.bodies[doc.ID]
 	e.mu.Unlock()
-	if err != nil || !runs {
+	if err != nil || !found {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	e.Site.check(doc.ID, chain)
-	if blamed, status := e.Site.lacks(chain); status != 0 {
+	if blamed, status := e.Site.firstUnavailable(chain); status != 0 {
 		w.WriteHeader(http.StatusConflict)
 		_ = json.NewEncoder(w).Encode(map[string]string{"addr": blamed})
 		return
 	}
 	e.setRunning(doc.ID, chain)
-	e.Site.doomMoved(body, former, chain)
+	e.Site.crashMovedIfMarked(body, previous, chain)
 	w.WriteHeader(http.StatusAccepted)
 }
--- a/standin/site/says.go
+++ b/standin/site/says.go
@@ -6,50 +6,52 @@
 	"time"
 )
 
-// Says is what an endpoint says of the requests that it takes.
+// Says is what an endpoint reports about itself in the headers of its answers.
 type Says struct {
-	// Limit is the requests a second that it takes from all gateways, 0 when it names none. With
-	// Above it names it only while it runs more streams than that.
+	// Limit is the number of requests a second that the endpoint accepts from all gateways
+	// together; 0 sends no limit. If Above is set, the endpoint sends the limit only while it
+	// runs more than Above streams.
 	Limit float64
 	Above int
-	// Rest is what it asks for with each request, all of which it turns away; 0 for none.
+	// Rest is the backoff period: the endpoint refuses every request and asks with Retry-After
+	// for this delay; 0 for none.
 	Rest time.Duration
-	// Leaving is set when it says that it is about to end.
+	// Leaving is whether the endpoint announces that it is about to end.
 	Leaving bool
 }
 
-// Say sets what the endpoint says from now on.
+// Say sets what the endpoint reports in its answers from now on.
 func (e *Endpoint) Say(s Says) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.says, e.namedAt = s, time.Time{}
+	e.signals, e.limitSentAt = s, time.Time{}
 }
 
-// Saying returns what the endpoint says.
+// Saying returns what the endpoint reports in its answers.
 func (e *Endpoint) Saying() Says {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.says
+	return e.signals
 }
 
-// NamedAt returns when the endpoint first named the limit that it was last told to name, zero when it
-// has not.
+// NamedAt returns when the endpoint first sent the limit set by the latest Say; zero if it has not
+// sent it.
 func (e *Endpoint) NamedAt() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.namedAt
+	return e.limitSentAt
 }
 
-// say writes what the endpoint says into the head of an answer, and reports whether the request is
-// turned away.
-func (e *Endpoint) say(h http.Header) bool {
+// setSignalHeaders sets the headers of an answer that carry the endpoint's report, and reports whether the endpoint
+// refuses the request.
+func (e *Endpoint) setSignalHeaders(h http.Header) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := e.says
+	s := e.signals
 	if s.Limit > 0 && (s.Above == 0 || len(e.running) > s.Above) {
 		h.Set("Server-Limit", strconv.FormatFloat(s.Limit, 'f', -1, 64))
-		if e.namedAt.IsZero() {
-			e.namedAt = time.Now()
+		if e.limitSentAt.IsZero() {
+			e.limitSentAt = time.Now()
 		}
 	}
 	if s.Leaving {
@@ -61,28 +63,31 @@
 	return s.Rest > 0
 }
 
-// LimitSpan is the span in which an endpoint that names a limit gets no more than Allowed, once
-// LimitHeard has passed for all gateways to hear of it.
+// LimitSpan is the time window in which an endpoint that sends a limit may get at most Allowed
+// requests. The rule holds from LimitHeard after the endpoint first sent the limit, by when all
+// gateways must have learnt of it.
 const (
 	LimitSpan  = 4 * time.Second
 	LimitHeard = 3 * time.Second
 )
 
-// Allowed returns how many requests an endpoint that names a limit a second may get within LimitSpan: half
-// as many again as it takes, and five.
+// Allowed returns the largest number of requests that an endpoint with a limit of so many requests a
+// second may get within LimitSpan: 1.5 times the limit, plus five.
 func Allowed(limit float64) int {
 	return int(1.5*limit*LimitSpan.Seconds()) + 5
 }
 
-// An endpoint that has asked for a rest gets RestSlack requests more at most, from RestHeard later to the
-// end of the rest. LeavingHeard is how long after it has said that it leaves it may get any.
+// An endpoint that has asked for a backoff period may get at most RestSlack requests between RestHeard
+// after it asked and the end of the period. An endpoint that has announced that it is leaving may get
+// requests for at most LeavingHeard after that.
 const (
 	RestHeard    = 500 * time.Millisecond
 	RestSlack    = 2
 	LeavingHeard = 2 * time.Second
 )
 
-// MostWithinRest returns the largest number of times that lie within a rest that was asked for at one of them.
+// MostWithinRest returns the largest number of requests that arrived in one backoff period, not counting
+// those within RestHeard of its start. Each of times, in ascending order, begins a period of length rest.
 func MostWithinRest(times []time.Time, rest time.Duration) int {
 	most := 0
 	for i, asked := range times {
@@ -97,7 +102,7 @@
 	return most
 }
 
-// MostWithin returns the largest number of times that lie within one span.
+// MostWithin returns the largest number of times, which are in ascending order, that lie within one span.
 func MostWithin(times []time.Time, span time.Duration) int {
 	most, first := 0, 0
 	for i, at := range times {
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -8,33 +8,35 @@
 	"sync"
 )
 
-// Site is a store with endpoints. Make one with New.
+// Site is a store and a set of endpoints, each served at a loopback address. Make
+// one with New.
 type Site struct {
 	// Store is the platform's store, at StoreAddress.
 	Store        *Store
 	StoreAddress string
 	// Layers is the number of layers of the model.
 	Layers int
-	// Dark has endpoints fall silent under deadly requests, as a host does that loses its power.
+	// Dark makes endpoints stop answering under requests marked by Doom, like a host that loses
+	// power, instead of refusing connections.
 	Dark bool
-	// Ending is called before an endpoint ends under a deadly request, when it is set.
+	// Ending, if set, is called before an endpoint ends under a request marked by Doom.
 	Ending func(*Endpoint)
 
 	mu sync.Mutex // guards what follows
-	// endpoints are by address.
+	// endpoints holds the announced endpoints by address.
 	endpoints map[string]*Endpoint
 	servers   []*http.Server
-	// byAddress are the servers by the address at which they listen.
+	// byAddress holds the servers by the address at which they listen.
 	byAddress map[string]*http.Server
-	// faults are the chains that did not run each layer once and in order.
+	// faults describes the chains that did not run each layer once and in order.
 	faults []string
-	// modes are those of the next requests of a service.
+	// modes holds the modes of the next requests, by service.
 	modes map[string][]Mode
-	// deadly are the bodies of requests that end the endpoints that begin to run them, and
-	// deadlyMoved of those that end the parts that they are moved to; ended are the endpoints
-	// that have.
-	deadly, deadlyMoved map[string]bool
-	ended               []*Endpoint
+	// crashes holds the bodies of requests that end an endpoint when it begins to run them, and
+	// crashesMoved of those that end the stages to which they are moved; crashed lists the endpoints
+	// that have ended so.
+	crashes, crashesMoved map[string]bool
+	crashed               []*Endpoint
 }
 
 // New starts a site with a store and no endpoints.
@@ -45,14 +47,14 @@
 	return s, err
 }
 
-// serve serves a handler at an address of its own.
+// serve serves a handler on a loopback port and returns the address.
 func (s *Site) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	server := &http.Server{Handler: handler}
-	go server.Serve(listener) //nolint:errcheck // ends with Close
+	go server.Serve(listener) //nolint:errcheck // ends when Close closes the server
 	s.mu.Lock()
 	s.servers = append(s.servers, server)
 	if s.byAddress == nil {
@@ -63,7 +65,7 @@
 	return listener.Addr().String(), nil
 }
 
-// Start starts an endpoint and announces it.
+// Start makes an endpoint listen and writes its record to the store.
 func (s *Site) Start(e *Endpoint) error {
 	if err := s.Open(e); err != nil {
 		return err
@@ -72,8 +74,8 @@
 	return nil
 }
 
-// Open has an endpoint listen without anybody knowing of it, so that Public can
-// be set to a link before it.
+// Open makes an endpoint listen without writing its record, so that Public can be
+// set first to the address of a link in front of it.
 func (s *Site) Open(e *Endpoint) error {
 	e.Site = s
 	address, err := s.serve(e)
@@ -81,84 +83,84 @@
 	return err
 }
 
-// Stop ends the process of an endpoint: its host refuses connections from then on.
+// Stop simulates the end of an endpoint's process: connections are closed, and new ones refused.
 func (s *Site) Stop(e *Endpoint) {
 	s.mu.Lock()
 	server := s.byAddress[e.address]
 	s.mu.Unlock()
 	if server != nil {
-		_ = server.Close() // a stand-in's connections
+		_ = server.Close() // nothing to save
 	}
 }
 
-// Doom has each endpoint end that begins to run a request with a body, as the first of a
-// chain or alone. Its record stays.
+// Doom makes every request with this body end the endpoint that begins to run it, as the first stage
+// of a chain or as a plain endpoint. The endpoint's record stays in the store.
 func (s *Site) Doom(body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.deadly == nil {
-		s.deadly = make(map[string]bool)
+	if s.crashes == nil {
+		s.crashes = make(map[string]bool)
 	}
-	s.deadly[body] = true
+	s.crashes[body] = true
 }
 
-// DoomMoved has each endpoint end that a request with a body is moved to.
+// DoomMoved makes every request with this body end the endpoints to which it is moved.
 func (s *Site) DoomMoved(body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deadlyMoved = map[string]bool{body: true}
+	s.crashesMoved = map[string]bool{body: true}
 }
 
-// doomMoved ends the endpoints that a request with a body has been moved to, if that is deadly.
-func (s *Site) doomMoved(body string, from, to []part) {
+// crashMovedIfMarked ends the endpoints that are in chain to but not in from, if DoomMoved has marked the body.
+func (s *Site) crashMovedIfMarked(body string, from, to []stage) {
 	kept := make(map[string]bool)
 	for _, p := range from {
 		kept[p.address] = true
 	}
 	for _, p := range to {
-		e := s.at(p.address)
+		e := s.endpointAt(p.address)
 		s.mu.Lock()
-		deadly := s.deadlyMoved[body] && e != nil && !kept[p.address]
-		if deadly {
-			s.ended = append(s.ended, e)
+		crashes := s.crashesMoved[body] && e != nil && !kept[p.address]
+		if crashes {
+			s.crashed = append(s.crashed, e)
 		}
 		s.mu.Unlock()
-		if deadly {
+		if crashes {
 			e.Kill()
 			s.Stop(e)
 		}
 	}
 }
 
-// Ended returns the endpoints that have ended under such requests.
+// Ended returns the endpoints that have ended under requests marked by Doom or DoomMoved.
 func (s *Site) Ended() []*Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]*Endpoint(nil), s.ended...)
+	return append([]*Endpoint(nil), s.crashed...)
 }
 
-// doom ends an endpoint that begins to run a request with a body, if that is deadly.
-func (s *Site) doom(e *Endpoint, body []byte) {
+// crashIfMarked ends an endpoint that begins to run a request, if Doom has marked the body.
+func (s *Site) crashIfMarked(e *Endpoint, body []byte) {
 	s.mu.Lock()
-	deadly := s.deadly[string(body)]
-	if deadly {
-		s.ended = append(s.ended, e)
+	crashes := s.crashes[string(body)]
+	if crashes {
+		s.crashed = append(s.crashed, e)
 	}
 	s.mu.Unlock()
-	if deadly {
+	if crashes {
 		if s.Ending != nil {
 			s.Ending(e)
 		}
 		e.Kill()
 		if s.Dark {
-			return // what runs there hangs
+			return // requests that run there hang
 		}
 		s.Stop(e)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// Enter announces an endpoint that is open.
+// Enter registers an endpoint opened by Open and writes its record to the store.
 func (s *Site) Enter(e *Endpoint) {
 	s.mu.Lock()
 	s.endpoints[e.Address()] = e
@@ -166,8 +168,8 @@
 	s.Announce(e)
 }
 
-// Next sets the modes of the next requests that any endpoint of a service gets, in
-// the order of their arrival.
+// Next sets the modes of the next requests that arrive at any endpoint of a
+// service, in the order of their arrival.
 func (s *Site) Next(service string, modes ...Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,7 +179,8 @@
 	s.modes[service] = append(s.modes[service], modes...)
 }
 
-// nextMode takes the mode of the next request of a service, if one is set.
+// nextMode removes and returns the mode of the next request of a service, if Next
+// has set one.
 func (s *Site) nextMode(service string) (Mode, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,7 +192,7 @@
 	return modes[0], true
 }
 
-// Record is what an endpoint writes about itself.
+// Record is the record of an endpoint in the store.
 type Record struct {
 	Service string         `json:"service"`
 	Addr    string         `json:"addr"`
@@ -204,24 +207,23 @@
 	Seq     int            `json:"seq"`
 }
 
-// slots is the number of requests that an endpoint runs together when nothing else
-// is said.
-const slots = 64
+// defaultSlots is the default number of concurrent requests of an endpoint.
+const defaultSlots = 64
 
-// Announce writes the record of an endpoint.
+// Announce writes the record of an endpoint to the store as ready.
 func (s *Site) Announce(e *Endpoint) { s.announce(e, "ready") }
 
-// Leave writes that an endpoint is about to end.
+// Leave writes the record of an endpoint as draining, which tells that it is about to end.
 func (s *Site) Leave(e *Endpoint) { s.announce(e, "draining") }
 
-// Overwrite writes a text of another writer in place of the record of an endpoint.
+// Overwrite replaces the record of an endpoint by a text, as another writer of the store might.
 func (s *Site) Overwrite(e *Endpoint, text string) { s.Store.SetText("servers/"+e.ID, []byte(text)) }
 
 // Withdraw removes the record of an endpoint, which goes on serving.
 func (s *Site) Withdraw(e *Endpoint) { s.Store.Remove("servers/" + e.ID) }
 
 func (s *Site) announce(e *Endpoint, state string) {
-	r := Record{Service: e.Service, Addr: e.Address(), Zone: e.Hall, Slots: cmp.Or(e.Slots, slots), State: state, Kind: e.Card, Born: e.BornAt(), Version: "v1"}
+	r := Record{Service: e.Service, Addr: e.Address(), Zone: e.Hall, Slots: cmp.Or(e.Slots, defaultSlots), State: state, Kind: e.Card, Born: e.BornAt(), Version: "v1"}
 	if e.Card != "" {
 		from, to := e.Layers()
 		r.Layers = map[string]int{"from": from, "to_version": to, "version": 1}
@@ -229,18 +231,19 @@
 	s.Store.Set("servers/"+e.ID, r)
 }
 
-// at returns the endpoint at an address, nil for none.
-func (s *Site) at(address string) *Endpoint {
+// endpointAt returns the endpoint endpointAt an address, nil for none.
+func (s *Site) endpointAt(address string) *Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endpoints[address]
 }
 
-// lacks returns the first part of a chain that cannot be run, with the status of
-// the refusal; 0 when there is none. A dead part shows only as a standstill.
-func (s *Site) lacks(chain []part) (string, int) {
+// firstUnavailable returns the address of the first stage of a chain that cannot run and the
+// status of the refusal; the status is 0 if all can run. A dead endpoint is not
+// refused: it shows only as a stall.
+func (s *Site) firstUnavailable(chain []stage) (string, int) {
 	for _, p := range chain {
-		e := s.at(p.address)
+		e := s.endpointAt(p.address)
 		if e == nil {
 			return p.address, http.StatusServiceUnavailable
 		}
@@ -251,8 +254,8 @@
 	return "", 0
 }
 
-// check notes a chain that does not run each layer once and in order.
-func (s *Site) check(id string, chain []part) {
+// check records a chain that does not run each layer once and in order.
+func (s *Site) check(id string, chain []stage) {
 	next := 0
 	seen := make(map[string]bool)
 	for _, p := range chain {
@@ -277,11 +280,11 @@
 	return append([]string(nil), s.faults...)
 }
 
-// Close ends the servers.
+// Close closes the servers of the store and of all endpoints.
 func (s *Site) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, server := range s.servers {
-		_ = server.Close() // a stand-in's connections
+		_ = server.Close() // nothing to save
 	}
 }
--- a/standin/site/store.go
+++ b/standin/site/store.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Item is a key of the store on the wire.
+// Item is a key with its value and revisions, or the removal of one, on the wire.
 type Item struct {
 	Key   string `json:"key"`
 	Value string `json:"value,omitempty"`
@@ -24,68 +24,70 @@
 	Gone  bool   `json:"gone,omitempty"`
 }
 
-// Fault is what becomes of one call of the store.
+// Fault is a fault injected into one call of the store.
 type Fault struct {
-	// Status refuses the call without doing anything; 0 does it.
+	// Status, if not 0, is the status with which the call is refused without effect.
 	Status int
-	// Silent gives no answer: before the call is done, or after it with Lost.
+	// Silent gives no answer. The call has no effect, unless Lost is set.
 	Silent, Lost bool
-	// Delay is how much later the answer comes.
+	// Delay is added before the call.
 	Delay time.Duration
 }
 
-// Store is the store. The zero Store is empty and ready to use.
+// Store is the stand-in for the platform's key-value store: keys with revisions,
+// leases, conditional changes, and watches over a history that can be compacted.
+// The zero Store is empty and ready to use.
 type Store struct {
 	mu      sync.Mutex // guards what follows
 	items   map[string]Item
 	leases  map[uint64]time.Time
 	ttls    map[uint64]time.Duration
 	history []Item
-	// floor is the revision up to which the history has been forgotten.
-	floor   uint64
-	rev     uint64
-	changed chan struct{}
-	// old is the store as stale pages show it, nil for one that is current, and oldRev its revision.
-	old    map[string]Item
-	oldRev uint64
-	fault  func(*http.Request) Fault
-	calls  map[string]int
+	// compactedRev is the revision up to which the history has been compacted.
+	compactedRev uint64
+	rev          uint64
+	changed      chan struct{}
+	// staleItems is the content that stale reads return, nil for the current one; staleRev is its revision.
+	staleItems map[string]Item
+	staleRev   uint64
+	fault      func(*http.Request) Fault
+	calls      map[string]int
 }
 
-// protected are the keys that only operators and endpoints may write.
+// protected lists the prefixes of keys that only operators and endpoints may write.
 var protected = []string{"op/", "servers/"}
 
-// Set writes a key as its owner would.
+// Set writes the JSON encoding of value to a key, also a protected one.
 func (s *Store) Set(key string, value any) {
 	text, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // tests set values that can be encoded
+		panic(err) // a test set a value that cannot be encoded
 	}
 	s.SetText(key, text)
 }
 
-// SetText writes the text of a key.
+// SetText writes a text to a key in the encoding of the wire.
 func (s *Store) SetText(key string, text []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(key, base64.StdEncoding.EncodeToString(text), 0)
 }
 
-// SetValue writes the value of a key as it stands on the wire.
+// SetValue writes a value to a key as is, without the encoding of the wire.
 func (s *Store) SetValue(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(key, value, 0)
 }
 
-// Remove takes a key away.
+// Remove removes a key, also a protected one.
 func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(key)
 }
 
-// Value returns the text of a key, empty for none.
+// Value returns the decoded text of a key, empty if there is none or it cannot be decoded.
 func (s *Store) Value(key string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,37 +112,38 @@
 	return keys
 }
 
-// Compact forgets the history.
+// Compact discards the history, so that watches from earlier revisions fail.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.floor = nil, s.rev
-	s.wake()
+	s.history, s.compactedRev = nil, s.rev
+	s.notifyWatches()
 }
 
-// Age has stale pages show the store as it is now from here on.
+// Age makes stale reads return the present content from now on.
 func (s *Store) Age() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.old, s.oldRev = maps.Clone(s.items), s.rev
+	s.staleItems, s.staleRev = maps.Clone(s.items), s.rev
 }
 
-// Break decides from now on what becomes of each call; nil for no faults.
+// Break sets the function that returns the fault for each call from now on; nil
+// for no faults.
 func (s *Store) Break(fault func(*http.Request) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = fault
-	s.wake()
+	s.notifyWatches()
 }
 
-// Calls returns how often a path was called.
+// Calls returns how many times a path was called.
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
 }
 
-// ServeHTTP serves one call.
+// ServeHTTP serves one call, with the fault set by Break.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	if s.calls == nil {
@@ -170,16 +173,17 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(answer) // the caller may have left
+	_ = json.NewEncoder(w).Encode(answer) // the caller may have closed the connection
 }
 
-// hang waits until the caller has left, which shows only once the body has been read.
+// hang waits until the caller has closed the connection, which the server notices only once the body
+// has been read.
 func hang(r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 }
 
-// call does one call.
+// call executes one call and returns the status and body of the answer.
 func (s *Store) call(r *http.Request) (int, any) {
 	switch {
 	case r.URL.Path == "/-/kv-key":
@@ -193,9 +197,9 @@
 	case r.URL.Path == "/-/kv-lease":
 		return s.grant(r)
 	case strings.HasPrefix(r.URL.Path, "/-/kv-keep/"):
-		return s.keep(strings.TrimPrefix(r.URL.Path, "/-/kv-keep/"))
+		return s.renew(strings.TrimPrefix(r.URL.Path, "/-/kv-keep/"))
 	case strings.HasPrefix(r.URL.Path, "/-/kv-lease-end/"):
-		return s.end(strings.TrimPrefix(r.URL.Path, "/-/kv-lease-end/"))
+		return s.revoke(strings.TrimPrefix(r.URL.Path, "/-/kv-lease-end/"))
 	}
 	return http.StatusNotFound, nil
 }
@@ -203,7 +207,7 @@
 func (s *Store) get(key string) (int, any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expireLeases()
 	item, ok := s.items[key]
 	if !ok {
 		return http.StatusNotFound, nil
@@ -211,16 +215,17 @@
 	return http.StatusOK, item
 }
 
-// pageItems is the number of items of a page; small, so that tests meet several.
+// pageItems is the largest number of items in a page; it is small so that tests
+// read several pages.
 const pageItems = 50
 
 func (s *Store) scan(prefix, after string, stale bool) (int, any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expireLeases()
 	items, at := s.items, s.rev
-	if stale && s.old != nil {
-		items, at = s.old, s.oldRev
+	if stale && s.staleItems != nil {
+		items, at = s.staleItems, s.staleRev
 	}
 	list := make([]Item, 0, len(items))
 	for key, item := range items {
@@ -233,7 +238,7 @@
 	return http.StatusOK, map[string]any{"items": list[:min(len(list), pageItems)], "more": more, "at": at}
 }
 
-// watch waits for changes.
+// watch waits for changes under a prefix, up to the time that the caller asks for.
 func (s *Store) watch(r *http.Request) (int, any) {
 	query := r.URL.Query()
 	after, err := strconv.ParseUint(query.Get("after_rev"), 10, 64)
@@ -241,8 +246,8 @@
 	if err != nil || err2 != nil {
 		return http.StatusBadRequest, nil
 	}
-	over := time.NewTimer(time.Duration(millis) * time.Millisecond)
-	defer over.Stop()
+	timeout := time.NewTimer(time.Duration(millis) * time.Millisecond)
+	defer timeout.Stop()
 	for {
 		events, at, changed, compacted := s.since(query.Get("path_prefix"), after)
 		if compacted {
@@ -253,7 +258,7 @@
 		}
 		select {
 		case <-changed:
-		case <-over.C:
+		case <-timeout.C:
 			return http.StatusOK, map[string]any{"events": []Item{}, "at": at}
 		case <-r.Context().Done():
 			return http.StatusServiceUnavailable, nil
@@ -261,16 +266,17 @@
 	}
 }
 
-// since returns the changes under a prefix after a revision, with a channel that
-// is closed at the next change.
+// since returns the changes under a prefix after a revision, the present revision,
+// a channel that is closed at the next change, and whether those changes have been
+// compacted.
 func (s *Store) since(prefix string, after uint64) ([]Item, uint64, chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expireLeases()
 	if s.changed == nil {
 		s.changed = make(chan struct{})
 	}
-	if after < s.floor {
+	if after < s.compactedRev {
 		return nil, 0, nil, true
 	}
 	var events []Item
@@ -282,7 +288,8 @@
 	return events, s.rev, s.changed, false
 }
 
-// transaction is the body of a conditional change.
+// transaction is the body of a change that applies only if every listed key is at
+// its expected revision.
 type transaction struct {
 	Conditions []struct {
 		Key string `json:"key"`
@@ -303,7 +310,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expireLeases()
 	for _, c := range t.Conditions {
 		if s.items[c.Key].Rev != c.Rev {
 			return http.StatusPreconditionFailed, map[string]any{"items": []Item{s.items[c.Key]}}
@@ -327,10 +334,10 @@
 }
 
 func (s *Store) grant(r *http.Request) (int, any) {
-	var ask struct {
+	var body struct {
 		Millis int64 `json:"ttl_ms"`
 	}
-	if err := json.NewDecoder(r.Body).Decode(&ask); err != nil {
+	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
 		return http.StatusBadRequest, nil
 	}
 	s.mu.Lock()
@@ -340,15 +347,15 @@
 	}
 	s.rev++
 	id := s.rev
-	s.ttls[id] = time.Duration(ask.Millis) * time.Millisecond
+	s.ttls[id] = time.Duration(body.Millis) * time.Millisecond
 	s.leases[id] = time.Now().Add(s.ttls[id])
-	return http.StatusOK, map[string]any{"lease": id, "ttl_ms": ask.Millis}
+	return http.StatusOK, map[string]any{"lease": id, "ttl_ms": body.Millis}
 }
 
-func (s *Store) keep(text string) (int, any) {
+func (s *Store) renew(text string) (int, any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expireLeases()
 	id, err := strconv.ParseUint(text, 10, 64)
 	if _, ok := s.leases[id]; err != nil || !ok {
 		return http.StatusNotFound, nil
@@ -357,29 +364,29 @@
 	return http.StatusOK, map[string]any{"ttl_ms": s.ttls[id].Milliseconds()}
 }
 
-func (s *Store) end(text string) (int, any) {
+func (s *Store) revoke(text string) (int, any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id, err := strconv.ParseUint(text, 10, 64)
 	if _, ok := s.leases[id]; err != nil || !ok {
 		return http.StatusNotFound, nil
 	}
-	s.over(id)
+	s.endLease(id)
 	return http.StatusOK, nil
 }
 
-// lapse ends the leases that have run out; s.mu is held.
-func (s *Store) lapse() {
+// expireLeases ends the leases that have expired; s.mu is held.
+func (s *Store) expireLeases() {
 	now := time.Now()
 	for id, until := range s.leases {
 		if now.After(until) {
-			s.over(id)
+			s.endLease(id)
 		}
 	}
 }
 
-// over ends a lease with its keys; s.mu is held.
-func (s *Store) over(id uint64) {
+// endLease ends a lease and removes its keys; s.mu is held.
+func (s *Store) endLease(id uint64) {
 	delete(s.leases, id)
 	for key, item := range s.items {
 		if item.Lease == id {
@@ -400,10 +407,10 @@
 	}
 	s.items[key] = item
 	s.history = append(s.history, item)
-	s.wake()
+	s.notifyWatches()
 }
 
-// remove takes a key away; s.mu is held.
+// remove removes a key, if present; s.mu is held.
 func (s *Store) remove(key string) {
 	if _, ok := s.items[key]; !ok {
 		return
@@ -411,11 +418,11 @@
 	delete(s.items, key)
 	s.rev++
 	s.history = append(s.history, Item{Key: key, Rev: s.rev, Gone: true})
-	s.wake()
+	s.notifyWatches()
 }
 
-// wake lets the waiting watches look again; s.mu is held.
-func (s *Store) wake() {
+// notifyWatches makes the waiting watches check for changes; s.mu is held.
+func (s *Store) notifyWatches() {
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
--- a/standin/toy/model.go
+++ b/standin/toy/model.go
@@ -1,26 +1,27 @@
-// Package toy is a model small enough to run anywhere and strict enough to
-// show any mistake: each layer keeps a hash of all it has seen, so a layer that
-// runs twice, out of order or not at all changes every token after it.
+// Package toy is a deterministic model that is cheap to run and exposes any
+// mistake in running it: each layer keeps a hash of all its input, so a layer that
+// runs twice, out of order or not at all changes every later token. Tests compare
+// the tokens of a chain of engines with Model.Answer.
 package toy
 
-// Sizes of what travels between stages.
+// Sizes of the data that stages pass on, in bytes.
 const (
-	// TokenBytes is the size of one token at the first layer.
+	// TokenBytes is the size of one token, the input of the first layer.
 	TokenBytes = 4
-	// ActivationBytes is the size of one activation after it.
+	// ActivationBytes is the size of one activation, the input of all other layers.
 	ActivationBytes = 8
 )
 
-// vocabulary is the number of distinct tokens: the printable letters.
+// vocabulary is the number of distinct output tokens: the lower-case letters.
 const vocabulary = 26
 
-// Model is a toy model of Layers layers. The name seeds it.
+// Model is a toy model of Layers layers. The length of Name seeds it.
 type Model struct {
 	Name   string
 	Layers int
 }
 
-// Cache is what one layer remembers of one request.
+// Cache is the state of one layer for one request.
 type Cache uint64
 
 // Embed returns the activation of a token.
@@ -28,20 +29,20 @@
 	return mix(uint64(token) + 0x9e3779b97f4a7c15)
 }
 
-// Layer runs layer l over activation x and updates its cache.
+// Layer runs layer l on activation x, updates its cache and returns the next
+// activation.
 func (m Model) Layer(l int, cache *Cache, x uint64) uint64 {
 	h := mix(uint64(*cache) ^ x ^ uint64(l)<<48 ^ uint64(len(m.Name)))
 	*cache = Cache(h)
 	return mix(x + h)
 }
 
-// Token returns the token that the last activation stands for, as a lower-case
-// letter.
+// Token returns the token of the last layer's activation, as a lower-case letter.
 func Token(x uint64) uint32 {
 	return 'a' + uint32(x%vocabulary)
 }
 
-// Answer returns the n tokens that the model gives to prompt.
+// Answer returns the first n tokens that the model generates for prompt.
 func (m Model) Answer(prompt []uint32, n int) []uint32 {
 	caches := make([]Cache, m.Layers)
 	var next uint32
@@ -64,7 +65,7 @@
 	return Token(x)
 }
 
-// Tokens returns the tokens of text, one for each byte.
+// Tokens returns the tokens of text, one per byte.
 func Tokens(text string) []uint32 {
 	tokens := make([]uint32, len(text))
 	for i := range len(text) {
