--- a/cmd/grademill/explain.go
+++ b/cmd/grademill/explain.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	defer file.Close() //nolint:errcheck // opened for reading only
+	defer file.Close() //nolint:errcheck // only read
 	skipped, err := s.Read(file)
 	if skipped > 0 {
 		fmt.Fprintf(os.Stderr, "%s: skipped %d lines that are not log lines\n", path, skipped)
--- a/lab/baseline/chooser.go
+++ b/lab/baseline/chooser.go
@@ -1,5 +1,5 @@
-// Package baseline has simple ways to choose a chain, against which the
-// router's own is measured.
+// Package baseline implements simple strategies for choosing a chain, against
+// which measurements compare the router's own. Set one as the Chooser of an entry.
 package baseline
 
 import (
@@ -9,26 +9,27 @@
 	"github.com/grademill/grademill/decide/route"
 )
 
-// Chooser chooses a chain out of a table.
+// Chooser chooses a chain from a table. It returns false if the table has none.
 type Chooser func(t *route.Table, seed uint64) (route.Choice, bool)
 
-// walk goes from layer 0 to the last and lets pick choose among the candidates
-// that begin where the chain ends so far and from which the end can be reached.
-func walk(t *route.Table, pick func(at int, from []int32) int32) (route.Choice, bool) {
+// buildChain builds a chain from layer 0 to the last. At each stage, pick chooses among
+// the candidates that begin where the chain ends so far and from whose end the last
+// layer can be reached.
+func buildChain(t *route.Table, pick func(at int, candidates []int32) int32) (route.Choice, bool) {
 	c := route.Choice{RunnerUp: -1}
 	reach := reachable(t)
 	for at := 0; at < t.Layers; {
-		var from []int32
+		var candidates []int32
 		for i := range t.Candidates {
 			r := t.Candidates[i].Endpoint.Layers
 			if r.First == at && reach[r.End] {
-				from = append(from, int32(i))
+				candidates = append(candidates, int32(i))
 			}
 		}
-		if len(from) == 0 || c.Len == route.MaxStages {
+		if len(candidates) == 0 || c.Len == route.MaxStages {
 			return route.Choice{}, false
 		}
-		chosen := pick(at, from)
+		chosen := pick(at, candidates)
 		c.Stages[c.Len] = chosen
 		c.Len++
 		c.Full = c.Full || t.Candidates[chosen].Usage.Load() >= 1
@@ -37,7 +38,7 @@
 	return c, true
 }
 
-// reachable returns from which layers the end can be reached.
+// reachable returns the set of layers from which candidates lead to the last layer.
 func reachable(t *route.Table) map[int]bool {
 	reach := map[int]bool{t.Layers: true}
 	for changed := true; changed; {
@@ -52,30 +53,30 @@
 	return reach
 }
 
-// Random picks any valid chain.
+// Random returns a chooser that picks each stage at random.
 func Random() Chooser {
 	return func(t *route.Table, seed uint64) (route.Choice, bool) {
 		rnd := rand.New(rand.NewPCG(seed, seed))
-		return walk(t, func(_ int, from []int32) int32 { return from[rnd.IntN(len(from))] })
+		return buildChain(t, func(_ int, candidates []int32) int32 { return candidates[rnd.IntN(len(candidates))] })
 	}
 }
 
-// RoundRobin takes the candidates of each layer in turn.
+// RoundRobin returns a chooser that picks the candidates of each stage in turn.
 func RoundRobin() Chooser {
-	var turn atomic.Uint64
+	var counter atomic.Uint64
 	return func(t *route.Table, _ uint64) (route.Choice, bool) {
-		n := turn.Add(1)
-		return walk(t, func(_ int, from []int32) int32 { return from[n%uint64(len(from))] })
+		n := counter.Add(1)
+		return buildChain(t, func(_ int, candidates []int32) int32 { return candidates[n%uint64(len(candidates))] })
 	}
 }
 
-// LeastLoaded takes at each layer the candidate with the fewest sessions for
-// its limit.
+// LeastLoaded returns a chooser that picks at each stage the candidate with the
+// fewest sessions in proportion to its limit.
 func LeastLoaded() Chooser {
 	return func(t *route.Table, _ uint64) (route.Choice, bool) {
-		return walk(t, func(_ int, from []int32) int32 {
-			best := from[0]
-			for _, i := range from[1:] {
+		return buildChain(t, func(_ int, candidates []int32) int32 {
+			best := candidates[0]
+			for _, i := range candidates[1:] {
 				if t.Candidates[i].Usage.Load() < t.Candidates[best].Usage.Load() {
 					best = i
 				}
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs the whole path in one process over loopback, ends an agent of the chain
-// that an answer comes along, and checks that the answer goes on.
+// Package demo runs a whole deployment in one process over loopback, kills an agent on the chain of a
+// streaming answer, and checks that the answer resumes on another chain. Fill in a Demo and call Run.
 package demo
 
 import (
@@ -22,7 +22,7 @@
 	"github.com/grademill/grademill/standin/toy"
 )
 
-// What the demo serves.
+// Services, team and size of the answers of the demo.
 const (
 	model  = "assistant"
 	layers = 12
@@ -33,36 +33,37 @@
 
 // Demo is one run. Set the exported fields before Run.
 type Demo struct {
-	// Out gets what a caller sees, Log the decisions.
+	// Out receives the answers as a caller sees them, Log the log of all processes.
 	Out io.Writer
 	Log zerolog.Logger
 }
 
-// Answer is what became of a request.
+// Answer describes the answer to a completion request.
 type Answer struct {
 	Tokens   []uint32
 	Attempts int
-	// Before and After are the endpoints of its chain half way and at its end.
+	// Before and After are the endpoints of the chain after half of the tokens and at the end.
 	Before, After []string
 	// Pause is the longest time between two tokens.
 	Pause time.Duration
 }
 
-// NotCarriedError is an answer that did not go on along another chain, or not to its end.
+// NotCarriedError reports an answer that did not resume on another chain, or whose tokens are not those
+// of the model.
 type NotCarriedError struct {
 	Answer Answer
 	// Killed is the endpoint whose agent was killed.
 	Killed string
 }
 
-// Error says what was missing.
+// Error describes the tokens, attempts and chains of the answer.
 func (e *NotCarriedError) Error() string {
-	return fmt.Sprintf("the answer was not carried over when %s was lost: %d of %d tokens in %d attempt(s), along %s and then %s",
+	return fmt.Sprintf("answer did not resume correctly after the agent of %s was killed: %d of %d tokens in %d attempt(s), along %s and then %s",
 		e.Killed, len(e.Answer.Tokens), tokens, e.Answer.Attempts, e.Answer.Before, e.Answer.After)
 }
 
-// Run runs the demo. It returns a NotCarriedError when the answer whose agent is killed is not
-// whole, or came along one chain alone.
+// Run runs the demo. It returns a NotCarriedError if the answer whose agent is killed is incomplete or
+// wrong, or came along only one chain.
 func (d *Demo) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,13 +80,13 @@
 	if _, err := d.answer(ctx, l.Entry(0), "When is the next spinning class?", nil); err != nil {
 		return err
 	}
-	if err := d.carried(ctx, l); err != nil {
+	if err := d.checkRecovery(ctx, l); err != nil {
 		return err
 	}
-	return d.calls(ctx, l)
+	return d.checkIdempotentCall(ctx, l)
 }
 
-// lab is three halls with two engines for each third of the model.
+// lab returns a lab of three halls, each with two engines of different speed for one third of the model.
 func (d *Demo) lab(records string) *lab.Lab {
 	l := &lab.Lab{
 		Entries: []lab.Host{{Name: "entry-1", Hall: "rose-hill"}, {Name: "entry-2", Hall: "curepipe"}},
@@ -108,8 +109,9 @@
 	return l
 }
 
-// carried asks for an answer, and kills the agent in the middle of its chain half way.
-func (d *Demo) carried(ctx context.Context, l *lab.Lab) error {
+// checkRecovery requests an answer and kills the agent of the middle stage after half of the tokens. It returns
+// a NotCarriedError if the answer does not resume on another chain with the tokens of the model.
+func (d *Demo) checkRecovery(ctx context.Context, l *lab.Lab) error {
 	const prompt = "Plan three workouts for a beginner."
 	killed := ""
 	answer, err := d.answer(ctx, l.Entry(1), prompt, func(chain []string) {
@@ -119,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(d.Out, "   the agent beside %s was killed half way: chain %s, then %s; longest pause %s\n",
+	fmt.Fprintf(d.Out, "   the agent of %s was killed half way: chain %s, then %s; longest pause %s\n",
 		killed, strings.Join(answer.Before, " "), strings.Join(answer.After, " "), answer.Pause.Round(time.Millisecond))
 	want := toy.Model{Name: model, Layers: layers}.Answer(toy.Tokens(prompt), tokens)
 	if answer.Attempts < 2 || slices.Contains(answer.After, killed) || !slices.Equal(answer.Tokens, want) {
@@ -128,9 +130,9 @@
 	return nil
 }
 
-// answer asks for a completion and writes it as it comes. Half way it calls middle with the
-// endpoints of the chain, when that is set.
-func (d *Demo) answer(ctx context.Context, e *entry.Entry, prompt string, middle func(chain []string)) (Answer, error) {
+// answer requests a completion and writes it as it streams. After half of the tokens it calls middle,
+// if not nil, with the endpoints of the chain.
+func (d *Demo) answer(ctx context.Context, e *entry.Entry, prompt string, onHalf func(chain []string)) (Answer, error) {
 	fmt.Fprintf(d.Out, "%s -> ", prompt)
 	var a Answer
 	var last time.Time
@@ -145,9 +147,9 @@
 		fmt.Fprintf(d.Out, "%c", token)
 		a.Tokens = append(a.Tokens, token)
 		a.After = inUse(e)
-		if len(a.Tokens) == tokens/2 && middle != nil {
+		if len(a.Tokens) == tokens/2 && onHalf != nil {
 			a.Before = a.After
-			middle(a.Before)
+			onHalf(a.Before)
 		}
 		return nil
 	})
@@ -159,8 +161,7 @@
 	return a, nil
 }
 
-// inUse returns the endpoints of the model that run a request of an entry, in the order of
-// their layers.
+// inUse returns the endpoints of the model that run requests of an entry, in the order of their layers.
 func inUse(e *entry.Entry) []string {
 	var chain []string
 	first := make(map[string]int)
@@ -174,8 +175,8 @@
 	return chain
 }
 
-// calls renews a membership twice with the same key, at two entries: it runs once.
-func (d *Demo) calls(ctx context.Context, l *lab.Lab) error {
+// checkIdempotentCall sends the same call with the same idempotency key to two entries; the service runs it once.
+func (d *Demo) checkIdempotentCall(ctx context.Context, l *lab.Lab) error {
 	for i := range 2 {
 		reply, err := l.Entry(i).Call(ctx, router.Call{
 			Team: team, Service: plain, Key: "renewal-of-member-7", Method: http.MethodPost, Path: "/renew",
--- a/lab/demo/demo_test.go
+++ b/lab/demo/demo_test.go
@@ -10,9 +10,9 @@
 	"github.com/grademill/grademill/lab/demo"
 )
 
-// The demo kills an agent of the chain that the answer comes along, so that there is something
-// to recover: it killed one that the answer did not use, and showed nothing.
-func TestDemoShowsARecovery(t *testing.T) {
+// TestDemoRecoversFromKilledAgent checks that the agent that the demo kills is on the chain of the answer.
+// Killing an agent that the answer does not use would leave nothing to recover.
+func TestDemoRecoversFromKilledAgent(t *testing.T) {
 	var out bytes.Buffer
 	d := demo.Demo{Out: &out, Log: zerolog.Nop()}
 	require.NoError(t, d.Run(t.Context()), out.String())
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -1,6 +1,7 @@
-// Package lab sets up all roles with stand-ins in one process over loopback,
-// for the demo and for measurements. It is no simulator: the entries and agents
-// are the real ones, and time is real.
+// Package lab runs a deployment of entries, agents and stand-ins in one process
+// over loopback, for the demo and for measurements. It is not a simulator: the
+// entries and agents are the real ones and run in real time. Fill in a Lab, call
+// Start, send requests to its entries, and Close it.
 package lab
 
 import (
@@ -31,84 +32,87 @@
 	"github.com/grademill/grademill/standin/toy"
 )
 
-// Engine describes one model engine with its agent.
+// Engine describes a model engine and its agent.
 type Engine struct {
 	Name, Hall string
 	Layers     layer.Range
-	// Base is the time of a step, PerToken what each position adds, and
-	// MaxBatch the number of steps taken together.
+	// Base is the duration of a batch, PerToken the duration that each position
+	// adds, and MaxBatch the largest number of steps in a batch.
 	Base, PerToken time.Duration
 	MaxBatch       int
 	PrefixBlocks   int
 }
 
-// Plain describes one endpoint of a plain service with its agent.
+// Plain describes an endpoint of a plain service and its agent.
 type Plain struct {
 	Name, Hall, Service string
-	// Do runs a call.
+	// Do runs the calls, instead of a service at Base.
 	Do service.Service
-	// Base is the address of an HTTP service, when Do is not set.
+	// Base is the URL of an HTTP service, used if Do is nil.
 	Base string
 }
 
-// Host names an entry and its hall.
+// Host describes an entry: its name and its data hall.
 type Host struct {
 	Name, Hall string
 }
 
-// Lab is a set-up. Set the exported fields, then call Start.
+// Lab is a deployment in one process. Set the exported fields, then call Start.
 type Lab struct {
 	Entries []Host
 	Engines []Engine
 	Plains  []Plain
-	// Service and Layers are the model that the engines serve.
+	// Service is the service of the engines, and Layers the number of layers of its model.
 	Service string
 	Layers  int
-	// PlainService is the plain service; empty for none.
+	// PlainService is the name of the plain service; empty for none.
 	PlainService string
 	// Teams maps a team to its weight.
 	Teams map[string]float64
-	// MaxQueue bounds the queue of an entry.
+	// MaxQueue is the largest number of requests in the queue of an entry.
 	MaxQueue int
-	// Heartbeat is the time between two reports of an agent.
+	// Heartbeat is the interval between two reports of an agent.
 	Heartbeat time.Duration
-	// WaitFactor is how long steps may take with their wait, in steps.
+	// WaitFactor bounds the time of a step including its wait for a batch, as a
+	// multiple of the duration of a step.
 	WaitFactor float64
-	// MaxSessions is the number of sessions of an agent.
+	// MaxSessions is the largest number of sessions of an agent.
 	MaxSessions int
-	// Adjust may change an entry before it starts; nil for none.
+	// Adjust, if set, may change an entry before it starts.
 	Adjust func(*entry.Entry)
-	// Log gets the lines of all processes.
+	// Log receives the log of all processes.
 	Log zerolog.Logger
 
-	// Store is the platform, after Start.
+	// Store is the stand-in for the platform, set by Start.
 	Store *platform.Store
 
-	mu      sync.Mutex
-	group   sync.WaitGroup
-	entries []*entry.Entry
-	agents  map[string]*agent.Agent
-	engines map[string]*engine.Engine
-	address map[string]string
-	stops   map[string]context.CancelFunc
-	lives   map[string]context.Context
+	mu        sync.Mutex
+	group     sync.WaitGroup
+	entries   []*entry.Entry
+	agents    map[string]*agent.Agent
+	engines   map[string]*engine.Engine
+	addresses map[string]string
+	cancels   map[string]context.CancelFunc
+	contexts  map[string]context.Context
 }
 
-// Defaults of the fields that are zero.
+// Defaults of fields of Lab that are zero.
 const (
 	defaultHeartbeat = 200 * time.Millisecond
 	defaultSessions  = 64
 	defaultQueue     = 4096
 )
 
-// Start starts everything and returns once every entry knows every endpoint.
+// Start starts all processes and returns once every entry knows every endpoint and
+// the configuration. It returns an UnsettledError if that takes longer than
+// settleTimeout.
 func (l *Lab) Start(ctx context.Context) error {
 	l.Store = new(platform.Store)
 	l.agents = make(map[string]*agent.Agent)
 	l.engines = make(map[string]*engine.Engine)
-	l.address = make(map[string]string)
-	l.stops = make(map[string]context.CancelFunc)
-	l.lives = make(map[string]context.Context)
+	l.addresses = make(map[string]string)
+	l.cancels = make(map[string]context.CancelFunc)
+	l.contexts = make(map[string]context.Context)
 	if err := l.startEntries(ctx); err != nil {
 		return err
 	}
@@ -125,14 +129,14 @@
 			return err
 		}
 	}
-	return l.settle(ctx)
+	return l.waitReady(ctx)
 }
 
-// Close ends everything at once.
+// Close kills all processes and waits until they have ended.
 func (l *Lab) Close() {
 	l.mu.Lock()
-	for _, stop := range l.stops {
-		stop()
+	for _, cancel := range l.cancels {
+		cancel()
 	}
 	l.mu.Unlock()
 	l.group.Wait()
@@ -143,47 +147,48 @@
 	return l.entries[i]
 }
 
-// Work returns what an engine has done so far.
+// Work returns the counts of an engine's work so far.
 func (l *Lab) Work(name string) engine.Work {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.engines[name].Work()
 }
 
-// Kill ends an entry or an agent at once, with all its connections.
+// Kill ends an entry or an agent at once, without draining, and closes its connections.
 func (l *Lab) Kill(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if stop := l.stops[name]; stop != nil {
-		stop()
+	if cancel := l.cancels[name]; cancel != nil {
+		cancel()
 	}
 }
 
-// ports counts the addresses given out in this process.
-var ports atomic.Int32
+// portsUsed is the number of addresses that freeAddress has returned.
+var portsUsed atomic.Int32
 
-// firstPort lies below the ports that the kernel gives to connections.
-const firstPort = 20000
+// basePort lies below the kernel's range of ephemeral ports.
+const basePort = 20000
 
-// Life returns a context that ends when the process is killed.
+// Life returns a context that is cancelled when the named process is killed.
 func (l *Lab) Life(name string) context.Context {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lives[name]
+	return l.contexts[name]
 }
 
-// freeAddress returns a loopback address that no other process of this program
-// listens on. The network part tells programs that run at the same time apart.
+// freeAddress returns a loopback address that it has not returned before. The
+// second byte depends on the process ID, so that programs that run at the same time
+// use different addresses.
 func freeAddress() string {
-	return fmt.Sprintf("127.%d.0.1:%d", 1+os.Getpid()%250, firstPort+ports.Add(1))
+	return fmt.Sprintf("127.%d.0.1:%d", 1+os.Getpid()%250, basePort+portsUsed.Add(1))
 }
 
-// run runs a process of the lab until it is killed.
+// run starts a process of the lab, which runs until it is killed.
 func (l *Lab) run(ctx context.Context, name string, run func(context.Context) error) {
-	ctx, stop := context.WithCancel(ctx)
+	ctx, cancel := context.WithCancel(ctx)
 	l.mu.Lock()
-	l.stops[name] = stop
-	l.lives[name] = ctx
+	l.cancels[name] = cancel
+	l.contexts[name] = ctx
 	l.mu.Unlock()
 	l.group.Go(func() {
 		if err := run(ctx); err != nil {
@@ -208,7 +213,7 @@
 		}
 		e.Prepare()
 		l.entries = append(l.entries, e)
-		l.address[h.Name] = peers[i]
+		l.addresses[h.Name] = peers[i]
 		l.run(ctx, h.Name, e.Run)
 	}
 	return nil
@@ -217,7 +222,7 @@
 func (l *Lab) newEntry(h Host, address string, peers []string) *entry.Entry {
 	return &entry.Entry{
 		Name: h.Name, Hall: h.Hall, Address: address, Peers: peers, Store: l.Store, Hosts: l.Store,
-		Links: linkTime, MaxQueue: or(l.MaxQueue, defaultQueue), MaxDeadline: time.Minute,
+		Links: linkLatency, MaxQueue: orDefault(l.MaxQueue, defaultQueue), MaxDeadline: time.Minute,
 		MinStall: 100 * time.Millisecond, MaxStall: 5 * time.Second, RecoverWait: 3 * time.Second,
 		Expiry: 3 * time.Second, Sync: 200 * time.Millisecond, ListEvery: time.Second, Watchers: 2,
 		Retries:   retry.Budget{Share: 0.1, Window: time.Minute, Reserve: 20},
@@ -226,24 +231,24 @@
 	}
 }
 
-// linkTime is the one-way time between halls: a little under a millisecond.
-func linkTime(from, to string) time.Duration {
+// linkLatency returns the one-way latency between halls: a little under a millisecond.
+func linkLatency(from, to string) time.Duration {
 	if from == to {
 		return 100 * time.Microsecond
 	}
 	return 900 * time.Microsecond
 }
 
-func or[T comparable](value, otherwise T) T {
+func orDefault[T comparable](value, fallback T) T {
 	var zero T
 	if value == zero {
-		return otherwise
+		return fallback
 	}
 	return value
 }
 
-// StartEngine starts an engine and its agent. An engine that is there already
-// goes on beside a new agent.
+// StartEngine starts an engine and its agent. If the lab has an engine of that
+// name already, it starts only a new agent for it.
 func (l *Lab) StartEngine(ctx context.Context, spec Engine) error {
 	l.mu.Lock()
 	e := l.engines[spec.Name]
@@ -265,21 +270,21 @@
 }
 
 func (l *Lab) startPlain(ctx context.Context, spec Plain) error {
-	do := spec.Do
-	if do == nil {
-		do = &servicehttp.Client{Base: spec.Base}
+	handler := spec.Do
+	if handler == nil {
+		handler = &servicehttp.Client{Base: spec.Base}
 	}
-	return l.startAgent(ctx, &agent.Agent{Name: spec.Name, Hall: spec.Hall, Plain: do, Service: spec.Service})
+	return l.startAgent(ctx, &agent.Agent{Name: spec.Name, Hall: spec.Hall, Plain: handler, Service: spec.Service})
 }
 
 func (l *Lab) startAgent(ctx context.Context, a *agent.Agent) error {
 	a.Address = freeAddress()
 	for _, h := range l.Entries {
-		a.Entries = append(a.Entries, l.address[h.Name])
+		a.Entries = append(a.Entries, l.addresses[h.Name])
 	}
 	a.Subset = len(l.Entries)
-	a.Heartbeat = or(l.Heartbeat, defaultHeartbeat)
-	a.MaxSessions = or(l.MaxSessions, defaultSessions)
+	a.Heartbeat = orDefault(l.Heartbeat, defaultHeartbeat)
+	a.MaxSessions = orDefault(l.MaxSessions, defaultSessions)
 	a.WaitFactor = l.WaitFactor
 	a.DrainTimeout = 30 * time.Second
 	a.CallKeep = 70 * time.Minute
@@ -291,12 +296,12 @@
 	return nil
 }
 
-// Key returns the key of a team's callers.
+// Key returns the API key of a team.
 func Key(team string) string {
 	return "key-of-" + team
 }
 
-// configure makes the services and the teams.
+// configure writes the services and teams to the configuration.
 func (l *Lab) configure(ctx context.Context) error {
 	model := config.Service{Kind: config.Model, Model: "toy", Layers: l.Layers, Repeatable: true, LayersPerEngine: l.Layers}
 	if err := l.change(ctx, config.KindService, l.Service, model); err != nil {
@@ -328,35 +333,36 @@
 	return trace.Wrap(err)
 }
 
-// settleTimeout bounds the start of a lab.
-const settleTimeout = 30 * time.Second
+// startTimeout is how long Start waits for the entries to know every endpoint.
+const startTimeout = 30 * time.Second
 
-// settle waits until every entry knows every endpoint and the configuration.
-func (l *Lab) settle(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+// waitReady waits until every entry knows every endpoint and the present configuration.
+func (l *Lab) waitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	for !l.settled() {
+	for !l.ready() {
 		select {
 		case <-ctx.Done():
-			return trace.Wrap(&UnsettledError{l.known()})
+			return trace.Wrap(&UnsettledError{l.knownEndpoints()})
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 	return nil
 }
 
-// UnsettledError is a lab that has not come up in time.
+// UnsettledError reports that the entries of a lab did not get to know all
+// endpoints and the configuration in time.
 type UnsettledError struct {
 	// Known is the number of endpoints that each entry knows.
 	Known []int
 }
 
-// Error returns the numbers.
+// Error lists the numbers of known endpoints.
 func (e *UnsettledError) Error() string {
-	return fmt.Sprintf("the lab has not come up: the entries know %v endpoints", e.Known)
+	return fmt.Sprintf("lab did not start in time: the entries know %v endpoints", e.Known)
 }
 
-func (l *Lab) known() []int {
+func (l *Lab) knownEndpoints() []int {
 	known := make([]int, len(l.entries))
 	for i, e := range l.entries {
 		known[i] = len(e.Snapshot().All)
@@ -364,9 +370,9 @@
 	return known
 }
 
-func (l *Lab) settled() bool {
+func (l *Lab) ready() bool {
 	revision := l.entries[0].Config().Revision()
-	for i, n := range l.known() {
+	for i, n := range l.knownEndpoints() {
 		if n < len(l.Engines)+len(l.Plains) || l.entries[i].Config().Revision() < revision {
 			return false
 		}
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -54,7 +54,7 @@
 		return "", err
 	}
 	server := &http.Server{Handler: handler}
-	go server.Serve(listener) //nolint:errcheck // ends when Close closes the server
+	go server.Serve(listener) //nolint:errcheck // ends with Close
 	s.mu.Lock()
 	s.servers = append(s.servers, server)
 	if s.byAddress == nil {
