--- a/cmd/measure/account.go
+++ b/cmd/measure/account.go
@@ -15,28 +15,28 @@
 	"github.com/google/subcommands"
 )
 
-// accountCommand prints where played days lost their worth.
+// accountCommand prints where test days lost score.
 type accountCommand struct{}
 
 func (*accountCommand) Name() string { return "account" }
 func (*accountCommand) Synopsis() string {
-	return "print where played days lost their worth, from their reports"
+	return "print where test days lost score, from their reports"
 }
 func (*accountCommand) SetFlags(_ *flag.FlagSet) {}
 
 func (*accountCommand) Usage() string {
 	return "measure account REPORT...\n" +
-		"  Prints a row for each report of a played day, and what the days lost on average.\n"
+		"  Prints a row for each report of a test day, and the mean of all.\n"
 }
 
-// outOfReach are the ends of requests that no gateway could have served, as reports name
-// them: their callers found no gateway up, at a loss of power of all of them.
-var outOfReach = map[string]bool{"no connection": true}
+// unreachableCauses holds the causes, as named in reports, of unserved requests that no gateway could
+// have served: their callers found no gateway up while all had lost power.
+var unreachableCauses = map[string]bool{"no connection": true}
 
-// dayReport is the report of a played day, as far as the account needs it.
+// dayReport is the part of the report of a test day that the account needs.
 type dayReport struct {
-	// Parts are a name, a weight and a value each; Prices a name, an amount and what it
-	// takes off.
+	// Parts holds a name, a weight and a value each; Prices a name, an amount and the score
+	// that it costs.
 	Parts  [][3]any `json:"parts"`
 	Prices [][3]any `json:"prices"`
 	All    struct {
@@ -44,27 +44,28 @@
 		NotOwed int `json:"not_owed"`
 		Late    int `json:"late"`
 	} `json:"all"`
-	// Unserved are the last tries of requests that were never served: how they ended,
-	// how many, and an example.
+	// Unserved groups the requests that were never served by the outcome of their last
+	// attempt: its name, the number of requests, and examples.
 	Unserved [][3]any `json:"unserved_by"`
 }
 
-// account is what a day lost, in worth.
+// account lists the score that a test day lost, by cause.
 type account struct {
 	day   string
-	worth float64
-	// lost are the parts of the goal that were not reached, by name, and the prices
-	// together.
+	score float64
+	// lost holds the score lost by each part of the goal, by name, and prices the
+	// score lost by all prices together.
 	lost   map[string]float64
 	prices float64
-	// late, unserved and unreachable are shares of the requests that are owed.
+	// late, unserved and unreachable are shares of the owed requests: answered late,
+	// never served, and never served where no gateway could have.
 	late, unserved, unreachable float64
-	// reach is the worth that the share served would lose less, were those served that
-	// nobody could serve.
-	reach float64
+	// unreachableScore is the score that the part for the share served would gain if the
+	// unreachable requests had been served.
+	unreachableScore float64
 }
 
-// readAccount reads the account of one report.
+// readAccount reads a report and returns its account.
 func readAccount(path string) (account, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return r.account(strings.TrimSuffix(filepath.Base(path), ".json")), nil
 }
 
-// account works the account out.
+// account computes the account of a report.
 func (r dayReport) account(day string) account {
 	a := account{day: day, lost: make(map[string]float64)}
 	owed := float64(max(r.All.N-r.All.NotOwed, 1))
@@ -85,35 +86,36 @@
 	for _, u := range r.Unserved {
 		name, _ := u[0].(string)
 		a.unserved += number(u[1]) / owed
-		if outOfReach[name] {
+		if unreachableCauses[name] {
 			a.unreachable += number(u[1]) / owed
 		}
 	}
 	for _, part := range r.Parts {
 		name, _ := part[0].(string)
 		weight, value := number(part[1]), number(part[2])
-		a.worth += weight * value
+		a.score += weight * value
 		a.lost[name] = weight * (1 - value)
 		if name == "nines" && a.unserved > a.unreachable {
-			a.reach = weight * min(nines(a.unserved-a.unreachable)-nines(a.unserved), 1-value)
+			a.unreachableScore = weight * min(nines(a.unserved-a.unreachable)-nines(a.unserved), 1-value)
 		}
 	}
 	for _, price := range r.Prices {
 		a.prices += number(price[2])
 	}
-	a.worth -= a.prices
+	a.score -= a.prices
 	return a
 }
 
-// bestUnserved is the unserved share from which on the share served counts whole.
+// bestUnserved is the unserved share at or below which the share served scores 1.
 const bestUnserved = 0.001
 
-// nines returns the share served as it is counted, from the share unserved.
+// nines returns the score of the share served, on a logarithmic scale, from the
+// unserved share.
 func nines(unserved float64) float64 {
 	return min(math.Log(max(unserved, bestUnserved))/math.Log(bestUnserved), 1)
 }
 
-// Execute prints the table.
+// Execute prints the accounts of the reports as a table.
 func (c *accountCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	var list []account
 	for _, path := range f.Args() {
@@ -138,19 +140,19 @@
 
 // row returns the account as a row of the table.
 func (a account) row() string {
-	return fmt.Sprintf("| %s | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f |", a.day, a.worth,
+	return fmt.Sprintf("| %s | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f |", a.day, a.score,
 		a.lost["whole day"], a.lost["worst windows"], a.lost["worst class"], a.lost["nines"], a.prices,
-		a.late, a.unserved, a.unreachable, a.reach)
+		a.late, a.unserved, a.unreachable, a.unreachableScore)
 }
 
-// mean returns the mean of accounts.
+// mean returns the mean of the accounts.
 func mean(list []account) account {
 	m := account{day: "mean", lost: make(map[string]float64)}
 	n := float64(len(list))
 	for _, a := range list {
-		m.worth, m.prices = m.worth+a.worth/n, m.prices+a.prices/n
+		m.score, m.prices = m.score+a.score/n, m.prices+a.prices/n
 		m.late, m.unserved = m.late+a.late/n, m.unserved+a.unserved/n
-		m.unreachable, m.reach = m.unreachable+a.unreachable/n, m.reach+a.reach/n
+		m.unreachable, m.unreachableScore = m.unreachable+a.unreachable/n, m.unreachableScore+a.unreachableScore/n
 		for name, lost := range a.lost {
 			m.lost[name] += lost / n
 		}
--- a/cmd/measure/days.go
+++ b/cmd/measure/days.go
@@ -14,44 +14,43 @@
 	"github.com/google/subcommands"
 )
 
-// daysCommand prints the table of docs/MEASURES.md from the journal of played
-// days.
+// daysCommand prints the table of docs/MEASURES.md from the journal of test days.
 type daysCommand struct{}
 
 func (*daysCommand) Name() string             { return "days" }
-func (*daysCommand) Synopsis() string         { return "print the worth of played days from their journal" }
+func (*daysCommand) Synopsis() string         { return "print the scores of test days from the journal" }
 func (*daysCommand) SetFlags(_ *flag.FlagSet) {}
 
 func (*daysCommand) Usage() string {
-	return "measure days [FOLDER]\n  Reads the journal (default: journal) and prints a row for each score and hunt.\n"
+	return "measure days [FOLDER]\n  Reads the journal (default: journal) and prints a row for each run of score or hunt.\n"
 }
 
-// playing is a journal entry, as far as the table needs it.
-type playing struct {
-	Command string   `json:"cmd"`
-	Site    string   `json:"site"`
-	Why     string   `json:"why"`
-	Head    string   `json:"head"`
-	OK      bool     `json:"ok"`
-	Days    []played `json:"days"`
-	At      []string `json:"at"`
+// journalEntry is the part of a journal entry that the table needs.
+type journalEntry struct {
+	Command string    `json:"cmd"`
+	Site    string    `json:"site"`
+	Why     string    `json:"why"`
+	Head    string    `json:"head"`
+	OK      bool      `json:"ok"`
+	Days    []testDay `json:"days"`
+	At      []string  `json:"at"`
 }
 
-// played is one day.
-type played struct {
+// testDay is the result of one test day.
+type testDay struct {
 	Name    string  `json:"name"`
 	Served  float64 `json:"served"`
 	Refused float64 `json:"refused"`
 	Failed  float64 `json:"failed"`
-	// Parts are a name, a weight and a value each; Prices a name, an amount and
-	// what it takes off.
+	// Parts holds a name, a weight and a value each; Prices a name, an amount and
+	// the score that it costs.
 	Parts  [][3]any       `json:"parts"`
 	Prices [][3]any       `json:"prices"`
 	Rules  map[string]any `json:"rules"`
 }
 
-// worth returns what the day was worth.
-func (p played) worth() float64 {
+// score returns the score of the day: the weighted parts less the prices.
+func (p testDay) score() float64 {
 	sum := 0.0
 	for _, part := range p.Parts {
 		sum += number(part[1]) * number(part[2])
@@ -62,7 +61,7 @@
 	return sum
 }
 
-// number returns a number of a row, 0 for anything else.
+// number returns v if it is a number, and 0 otherwise.
 func number(v any) float64 {
 	n, ok := v.(float64)
 	if !ok {
@@ -71,7 +70,7 @@
 	return n
 }
 
-// Execute prints the table.
+// Execute prints the runs in the journal as a table.
 func (c *daysCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	folder := "journal"
 	if f.NArg() > 0 {
@@ -92,39 +91,39 @@
 	return subcommands.ExitSuccess
 }
 
-// readJournal reads all entries, the oldest first.
-func readJournal(folder string) ([]playing, error) {
+// readJournal reads all journal entries in a folder, the oldest first.
+func readJournal(folder string) ([]journalEntry, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
 		return nil, err
 	}
-	var entries []playing
+	var entries []journalEntry
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			return nil, err
 		}
-		var e playing
+		var e journalEntry
 		if err := json.Unmarshal(text, &e); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 		entries = append(entries, e)
 	}
-	slices.SortStableFunc(entries, func(a, b playing) int { return cmp.Compare(a.time(), b.time()) })
+	slices.SortStableFunc(entries, func(a, b journalEntry) int { return cmp.Compare(a.time(), b.time()) })
 	return entries, nil
 }
 
-// time returns when the run began.
-func (e playing) time() string {
+// time returns when the run began, or "" if the entry does not say.
+func (e journalEntry) time() string {
 	if len(e.At) == 0 {
 		return ""
 	}
 	return e.At[0]
 }
 
-// row returns the entry as a row of the table. The mean of a score leaves out the
-// day that was drawn for it, whose luck differs from run to run.
-func (e playing) row() string {
+// row returns the entry as a row of the table. The means leave out the randomly
+// drawn day of a run of score, whose conditions differ from run to run.
+func (e journalEntry) row() string {
 	var sum, lowest, served, refused, failed float64
 	var byDay []string
 	lowest = 1
@@ -137,11 +136,11 @@
 			continue
 		}
 		n++
-		sum += d.worth()
-		lowest = min(lowest, d.worth())
+		sum += d.score()
+		lowest = min(lowest, d.score())
 		served, refused, failed = served+d.Served, refused+d.Refused, failed+d.Failed
 		if e.Command == "score" {
-			byDay = append(byDay, fmt.Sprintf("%s %.3f", d.Name, d.worth()))
+			byDay = append(byDay, fmt.Sprintf("%s %.3f", d.Name, d.score()))
 		}
 	}
 	of := float64(max(n, 1))
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -1,5 +1,7 @@
-// Command measure measures throughput against the bound, recovery time, and the
-// slopes that docs/CAPACITY.md rests on, with small stand-ins in one process.
+// Command measure runs the measurements behind docs/CAPACITY.md with stand-ins in
+// one process: throughput against its upper bound, recovery time, overload, and
+// memory, message sizes and processor time by size. It also compares placements of
+// layers and tabulates the results of recorded test days.
 package main
 
 import (
--- a/cmd/measure/overload.go
+++ b/cmd/measure/overload.go
@@ -18,12 +18,14 @@
 	window time.Duration
 }
 
-func (*overloadCommand) Name() string     { return "overload" }
-func (*overloadCommand) Synopsis() string { return "goodput, shares and refusals beyond the bound" }
-func (*overloadCommand) Usage() string    { return "measure overload [flags]\n" }
+func (*overloadCommand) Name() string { return "overload" }
+func (*overloadCommand) Synopsis() string {
+	return "measure goodput, team shares and refusals at and above the upper bound"
+}
+func (*overloadCommand) Usage() string { return "measure overload [flags]\n" }
 
 func (c *overloadCommand) SetFlags(f *flag.FlagSet) {
-	f.DurationVar(&c.window, "window", 16*time.Second, "time of the load; its second half is measured")
+	f.DurationVar(&c.window, "window", 16*time.Second, "duration of the load; its second half is measured")
 }
 
 func (c *overloadCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -40,7 +42,7 @@
 	return subcommands.ExitSuccess
 }
 
-// overloadQueue is the queue of an entry: about two seconds of work.
+// overloadQueue is the queue limit of an entry, about two seconds of work.
 const overloadQueue = 64
 
 func (c *overloadCommand) measure(ctx context.Context, out *tabwriter.Writer, s site, times float64) error {
@@ -63,8 +65,8 @@
 		if failed && report.Kind == outcome.NotRun {
 			refused = append(refused, r.end.Sub(r.begin))
 		}
-		// Teams share admissions, so count who was admitted in the second half: who
-		// ends in it may have come before the load was too much.
+		// Teams share admissions, so count the requests admitted in the second half: a
+		// request that ends in it may have been admitted before the overload began.
 		if r.first.After(from) && r.first.Before(to) {
 			admitted[r.team]++
 			total++
--- a/cmd/measure/placements.go
+++ b/cmd/measure/placements.go
@@ -16,54 +16,56 @@
 	"github.com/grademill/grademill/decide/spread"
 )
 
-// placementsCommand compares ways to place the layers of a model on the cards of a
-// hall, on drawn fleets and without running anything.
+// placementsCommand compares strategies for placing the layers of a model on the
+// accelerator cards of a hall, by computation on randomly drawn halls.
 type placementsCommand struct {
 	fleets int
 	seed   uint64
 }
 
-func (*placementsCommand) Name() string     { return "placements" }
-func (*placementsCommand) Synopsis() string { return "compare placements of layers on drawn halls" }
+func (*placementsCommand) Name() string { return "placements" }
+func (*placementsCommand) Synopsis() string {
+	return "compare placements of layers on randomly drawn halls"
+}
 func (*placementsCommand) Usage() string {
-	return "measure placements [-fleets N] [-seed N]\n  Prints, for each way, the room for requests as a share of the bound, whole and after the loss of a card.\n"
+	return "measure placements [-fleets N] [-seed N]\n  Prints, for each strategy, the room for requests as a share of the bound, before and after the loss of a card.\n"
 }
 
-// SetFlags sets the flags.
+// SetFlags registers the flags.
 func (c *placementsCommand) SetFlags(f *flag.FlagSet) {
-	f.IntVar(&c.fleets, "fleets", 1000, "number of drawn halls")
-	f.Uint64Var(&c.seed, "seed", 1, "seed of the draw")
+	f.IntVar(&c.fleets, "fleets", 1000, "number of randomly drawn halls")
+	f.Uint64Var(&c.seed, "seed", 1, "random seed")
 }
 
-// kinds are the cards of the users' sites.
-var kinds = map[string]catalog.Card{
+// cardKinds holds the cardKinds of accelerator cards in the users' deployments.
+var cardKinds = map[string]catalog.Card{
 	"a100": {Memory: 72000, Pace: 2.4, Read: 3.2}, "l40s": {Memory: 43200, Pace: 5.6, Read: 2.7},
 	"l4": {Memory: 21600, Pace: 16, Read: 8.2},
 }
 
-// drawn is the model of the users' sites.
-var drawn = &catalog.Model{Layers: 80, LayerSize: 1750, TokenSize: 0.918, Cards: kinds}
+// drawnModel is the model of the users' deployments.
+var drawnModel = &catalog.Model{Layers: 80, LayerSize: 1750, TokenSize: 0.918, Cards: cardKinds}
 
-// placing is a way to place layers on the cards of a hall.
-type placing struct {
+// placement is a strategy for placement layers on the cards of a hall.
+type placement struct {
 	name  string
 	place func([]spread.Card) []spread.Card
 }
 
-// placings are the ways that are compared.
-var placings = []placing{
-	{"planner", planned},
-	{"further copies from the first layer on", inTurn(func(c spread.Card) float64 { return 0.6 * kinds[c.Kind].Memory / drawn.LayerSize })},
-	{"equal shares", inTurn(func(spread.Card) float64 { return 10 })},
-	{"layers by speed", inTurn(func(c spread.Card) float64 { return 56 / kinds[c.Kind].Pace })},
+// placements lists the strategies that are compared.
+var placements = []placement{
+	{"planner", byPlanner},
+	{"further copies from the first layer on", consecutive(func(c spread.Card) float64 { return 0.6 * cardKinds[c.Kind].Memory / drawnModel.LayerSize })},
+	{"equal shares", consecutive(func(spread.Card) float64 { return 10 })},
+	{"layers by speed", consecutive(func(c spread.Card) float64 { return 56 / cardKinds[c.Kind].Pace })},
 	{"whole copies by memory", byMemory},
 }
 
-// Execute runs the comparison.
+// Execute prints the comparison as a table.
 func (c *placementsCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	fmt.Println("| way | room, share of the bound: median | lowest tenth | after the loss of a card | halls without a chain after it | time of a token, ms |")
 	fmt.Println("|---|---|---|---|---|---|")
-	for _, way := range placings {
+	for _, way := range placements {
 		random := rand.New(rand.NewPCG(c.seed, 0))
 		var whole, lost, pace []float64
 		broken := 0
@@ -76,7 +78,7 @@
 			gone := random.IntN(len(cards))
 			left := slices.Delete(slices.Clone(cards), gone, gone+1)
 			if way.name == "planner" {
-				left = carryOut(left, spread.Planner{}.Plan(drawn, left))
+				left = applyMoves(left, spread.Planner{}.Plan(drawnModel, left))
 			}
 			after := room(left) / bound
 			lost = append(lost, after)
@@ -90,27 +92,28 @@
 	return subcommands.ExitSuccess
 }
 
-// mostCards are the most cards of a kind in a drawn hall: those of the users' halls,
-// and half as many again.
-var mostCards = []struct {
+// maxCards lists the largest numbers of cards of each kind in a drawn hall: 1.5
+// times those in the users' halls.
+var maxCards = []struct {
 	kind string
 	most int
 }{{"a100", 3}, {"l40s", 9}, {"l4", 14}}
 
-// drawHall draws the cards of a hall that holds the model at least once and a half.
+// drawHall draws the cards of a hall at random. 0.6 of their memory holds more than
+// 1.5 copies of the model.
 func drawHall(random *rand.Rand) []spread.Card {
 	for {
 		var cards []spread.Card
-		for _, k := range mostCards {
+		for _, k := range maxCards {
 			for range random.IntN(k.most + 1) {
 				cards = append(cards, spread.Card{Hall: "h", Kind: k.kind})
 			}
 		}
-		slices.SortStableFunc(cards, func(a, b spread.Card) int { return cmp.Compare(kinds[a.Kind].Pace, kinds[b.Kind].Pace) })
+		slices.SortStableFunc(cards, func(a, b spread.Card) int { return cmp.Compare(cardKinds[a.Kind].Pace, cardKinds[b.Kind].Pace) })
 		for i := range cards {
 			cards[i].ID = fmt.Sprintf("card-%02d", i)
 		}
-		if memoryOf(cards) > 1.5*float64(drawn.Layers)*drawn.LayerSize/0.6 {
+		if memoryOf(cards) > 1.5*float64(drawnModel.Layers)*drawnModel.LayerSize/0.6 {
 			return cards
 		}
 	}
@@ -119,51 +122,53 @@
 func memoryOf(cards []spread.Card) float64 {
 	sum := 0.0
 	for _, c := range cards {
-		sum += kinds[c.Kind].Memory
+		sum += cardKinds[c.Kind].Memory
 	}
 	return sum
 }
 
-// roomBound returns the tokens that fit beside as many copies as 0.6 of the memory
-// holds, if every layer had the same room.
+// roomBound returns the upper bound of the number of tokens with cached state in a
+// hall: those that fit in 0.4 of the memory, which copies of the model leave free,
+// if every layer has the same room.
 func roomBound(cards []spread.Card) float64 {
-	return 0.4 * memoryOf(cards) / drawn.TokenSize
+	return 0.4 * memoryOf(cards) / drawnModel.TokenSize
 }
 
-// room returns the tokens that fit at the layer where fewest do.
+// room returns the number of tokens that fit at the layer with the least room.
 func room(cards []spread.Card) float64 {
-	at := make([]float64, drawn.Layers)
+	at := make([]float64, drawnModel.Layers)
 	for _, c := range cards {
 		for l := c.Holds.First; l < c.Holds.End; l++ {
-			at[l] += float64(max(drawn.Room(kinds[c.Kind], c.Holds.Len()), 0))
+			at[l] += float64(max(drawnModel.Room(cardKinds[c.Kind], c.Holds.Len()), 0))
 		}
 	}
 	return slices.Min(at)
 }
 
-// tokenTime returns the milliseconds that a token takes along the fastest holders.
+// tokenTime returns the time in milliseconds of a token, if the fastest card that
+// holds a layer runs it.
 func tokenTime(cards []spread.Card) float64 {
 	const step = 1.02
 	sum := 0.0
-	for l := range drawn.Layers {
+	for l := range drawnModel.Layers {
 		least := math.Inf(1)
 		for _, c := range cards {
 			if c.Holds.First <= l && l < c.Holds.End {
-				least = min(least, kinds[c.Kind].Pace)
+				least = min(least, cardKinds[c.Kind].Pace)
 			}
 		}
-		sum += least * step / float64(drawn.Layers)
+		sum += least * step / float64(drawnModel.Layers)
 	}
 	return sum
 }
 
-// planned places by the product's planner.
-func planned(cards []spread.Card) []spread.Card {
-	return carryOut(cards, spread.Planner{}.Plan(drawn, cards))
+// byPlanner places the layers according to the router's own planner.
+func byPlanner(cards []spread.Card) []spread.Card {
+	return applyMoves(cards, spread.Planner{}.Plan(drawnModel, cards))
 }
 
-// carryOut returns the cards after moves.
-func carryOut(cards []spread.Card, moves []spread.Move) []spread.Card {
+// applyMoves returns the cards after the moves.
+func applyMoves(cards []spread.Card, moves []spread.Move) []spread.Card {
 	cards = slices.Clone(cards)
 	for _, m := range moves {
 		for i := range cards {
@@ -175,45 +180,46 @@
 	return cards
 }
 
-// inTurn lays ranges of a size end to end, and round again from the first layer.
-func inTurn(size func(spread.Card) float64) func([]spread.Card) []spread.Card {
+// consecutive returns a strategy that assigns consecutive ranges, of a size that depends
+// on the card, and starts over at the first layer after the last.
+func consecutive(size func(spread.Card) float64) func([]spread.Card) []spread.Card {
 	return func(cards []spread.Card) []spread.Card {
 		cards = slices.Clone(cards)
 		next := 0
 		for i, c := range cards {
-			n := min(max(int(math.Round(size(c))), 1), int(0.9*kinds[c.Kind].Memory/drawn.LayerSize))
-			end := min(next+n, drawn.Layers)
+			n := min(max(int(math.Round(size(c))), 1), int(0.9*cardKinds[c.Kind].Memory/drawnModel.LayerSize))
+			end := min(next+n, drawnModel.Layers)
 			cards[i].Holds = layer.Range{First: next, End: end}
-			next = end % drawn.Layers
+			next = end % drawnModel.Layers
 		}
 		return cards
 	}
 }
 
-// byMemory lays out whole copies, each card in proportion to its memory, in groups
-// of much the same memory.
+// byMemory splits the cards into groups of about equal memory, each of which holds
+// one copy of the model, and gives each card layers in proportion to its memory.
 func byMemory(cards []spread.Card) []spread.Card {
 	cards = slices.Clone(cards)
-	groups := max(int(0.76*memoryOf(cards)/(float64(drawn.Layers)*drawn.LayerSize)), 1)
+	groups := max(int(0.76*memoryOf(cards)/(float64(drawnModel.Layers)*drawnModel.LayerSize)), 1)
 	held := make([]float64, groups)
 	members := make([][]int, groups)
 	for i, c := range cards {
 		least := slices.Index(held, slices.Min(held))
-		held[least] += kinds[c.Kind].Memory
+		held[least] += cardKinds[c.Kind].Memory
 		members[least] = append(members[least], i)
 	}
 	for g, list := range members {
 		sum := 0.0
 		for _, i := range list {
-			first := int(math.Round(sum / held[g] * float64(drawn.Layers)))
-			sum += kinds[cards[i].Kind].Memory
-			cards[i].Holds = layer.Range{First: first, End: int(math.Round(sum / held[g] * float64(drawn.Layers)))}
+			first := int(math.Round(sum / held[g] * float64(drawnModel.Layers)))
+			sum += cardKinds[cards[i].Kind].Memory
+			cards[i].Holds = layer.Range{First: first, End: int(math.Round(sum / held[g] * float64(drawnModel.Layers)))}
 		}
 	}
 	return cards
 }
 
-// quantileOf returns a quantile of values.
+// quantileOf returns the q-quantile of values, which need not be sorted.
 func quantileOf(values []float64, q float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[int(q*float64(len(sorted)-1))]
--- a/cmd/measure/recovery.go
+++ b/cmd/measure/recovery.go
@@ -26,22 +26,24 @@
 	log   string
 }
 
-func (*recoveryCommand) Name() string     { return "recovery" }
-func (*recoveryCommand) Synopsis() string { return "time until all requests move again after a fault" }
-func (*recoveryCommand) Usage() string    { return "measure recovery [flags]\n" }
+func (*recoveryCommand) Name() string { return "recovery" }
+func (*recoveryCommand) Synopsis() string {
+	return "measure the time until all requests continue after a fault"
+}
+func (*recoveryCommand) Usage() string { return "measure recovery [flags]\n" }
 
 func (c *recoveryCommand) SetFlags(f *flag.FlagSet) {
-	f.Float64Var(&c.share, "share", 0.6, "load as a share of the bound")
-	f.IntVar(&c.runs, "runs", 1, "runs of each fault")
+	f.Float64Var(&c.share, "share", 0.6, "load as a share of the upper bound")
+	f.IntVar(&c.runs, "runs", 1, "number of runs of each fault")
 	f.StringVar(&c.only, "only", "", "measure only this fault")
-	f.StringVar(&c.log, "log", "", "file for the lines of all processes")
+	f.StringVar(&c.log, "log", "", "file for the log of all processes")
 }
 
-// fault is something that goes wrong in a lab.
+// fault is a fault to inject into a lab.
 type fault struct {
 	name string
-	// strike makes it happen and returns the names of what is gone.
-	strike func(l *lab.Lab) []string
+	// inject injects the fault and returns the names of the processes that it kills.
+	inject func(l *lab.Lab) []string
 }
 
 func faults(s site) []fault {
@@ -91,7 +93,7 @@
 	return subcommands.ExitSuccess
 }
 
-// Times of a run.
+// Durations of a run before and after the fault.
 const (
 	recoveryWarmUp = 3 * time.Second
 	recoveryAfter  = 5 * time.Second
@@ -109,7 +111,7 @@
 	}
 	defer l.Close()
 	var gone sync.Map
-	var struck atomic.Int64
+	var injectedAt atomic.Int64
 	t := &trial{site: s, lab: l, alive: func(i int) bool {
 		_, dead := gone.Load(l.Entries[i].Name)
 		return !dead
@@ -118,18 +120,18 @@
 	defer cancel()
 	go func() {
 		time.Sleep(recoveryWarmUp)
-		struck.Store(time.Now().UnixNano())
-		for _, name := range f.strike(l) {
+		injectedAt.Store(time.Now().UnixNano())
+		for _, name := range f.inject(l) {
 			gone.Store(name, true)
 		}
 	}()
 	t.open(load, c.share*s.bound(l.Engines))
-	at := time.Unix(0, struck.Load())
+	at := time.Unix(0, injectedAt.Load())
 	report(out, t, f, at)
 	return out.Flush()
 }
 
-// open opens the file for lines, which go nowhere when there is none.
+// open opens the log file. Without one, it returns a writer that discards the log.
 func (c *recoveryCommand) open() (io.Writer, error) {
 	if c.log == "" {
 		return io.Discard, nil
@@ -137,7 +139,8 @@
 	return os.OpenFile(c.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 }
 
-// open sends requests at an even rate until ctx ends, then waits for the last.
+// open sends requests at a constant rate until ctx ends, then waits for the last to
+// end.
 func (t *trial) open(ctx context.Context, perSecond float64) {
 	var group sync.WaitGroup
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
@@ -150,13 +153,13 @@
 	group.Wait()
 }
 
-// report prints what a fault at a time came to.
+// report prints the effects of a fault injected at a time.
 func report(out *tabwriter.Writer, t *trial, f fault, at time.Time) {
 	var moving []time.Duration
 	again, useful := 0, 0
 	ends := make(map[string]int)
 	for _, r := range t.results {
-		ends[endOf(r)]++
+		ends[outcomeName(r)]++
 		useful += t.site.prompt + t.site.answer - 1
 		if r.attempts > 1 {
 			again++
@@ -166,5 +169,5 @@
 	slices.Sort(moving)
 	fmt.Fprintf(out, "%s\t%s\t%d\t%v\t%v\t%v\t%d\t%d\t%d\t%d\t%d\n", t.site.name, f.name, again,
 		quantile(moving, 0.5).Round(time.Millisecond), quantile(moving, 1).Round(time.Millisecond),
-		t.backWithin(at), ends["failed"], ends["not_run"], ends["unknown"], ends["lost"], t.repeated())
+		t.recoveryTime(at), ends["failed"], ends["not_run"], ends["unknown"], ends["lost"], t.repeatedPositions())
 }
--- a/cmd/measure/site.go
+++ b/cmd/measure/site.go
@@ -18,27 +18,28 @@
 	"github.com/grademill/grademill/role/entry"
 )
 
-// site is a deployment to measure: three halls, 33 engines of three speeds with
-// mixed ranges, three endpoints of a plain service, ten teams.
+// site describes a deployment to measure: three halls, 33 engines of three speeds
+// that hold ranges of different sizes, three endpoints of a plain service, and ten
+// teams.
 type site struct {
 	name   string
 	halls  []string
 	layers int
-	// prompt and answer are the sizes of a request in tokens.
+	// prompt and answer are the sizes in tokens of the prompt and answer of a request.
 	prompt, answer int
-	// slowHall makes the engines of the last hall slower by this factor.
+	// slowHall multiplies the step time of the engines in the last hall; 0 for no change.
 	slowHall float64
-	// shared is the part of the prompt that all requests have in common.
+	// shared is the length in tokens of the prefix that all prompts have in common.
 	shared int
-	// blocks is the size of the engines' prefix caches.
+	// blocks is the size of the engines' prefix caches in blocks.
 	blocks int
-	// waitFactor is the agents' setting, 0 for their default.
+	// waitFactor is the wait factor of the agents; 0 for their default.
 	waitFactor float64
-	// log gets the lines of all processes; its zero value drops them.
+	// log receives the log of all processes; the zero value discards it.
 	log zerolog.Logger
 }
 
-// The deployments of today.
+// The deployments that are measured.
 var (
 	ramdin     = site{name: "ramdin", halls: []string{"rose-hill", "quatre-bornes", "curepipe"}, layers: 24, prompt: 64, answer: 32}
 	greenbough = site{name: "greenbough", halls: []string{"ikeja", "lekki", "ibadan"}, layers: 24, prompt: 96, answer: 48}
@@ -51,12 +52,12 @@
 	plainCount  = 3
 )
 
-// speeds are the step times of the three kinds of accelerator for a third of
-// the model.
+// speeds lists the step times of the three kinds of accelerator for a third of the
+// model.
 var speeds = []time.Duration{10 * time.Millisecond, 16 * time.Millisecond, 24 * time.Millisecond}
 
-// engines returns the engines of the site: most hold a third of the model, some
-// a half.
+// engines returns the engines of the site: 27 hold a third of the model each, and
+// 6 a half.
 func (s site) engines() []lab.Engine {
 	var engines []lab.Engine
 	add := func(i, first, end int) {
@@ -85,9 +86,9 @@
 	return engines
 }
 
-// bound returns the largest number of requests a second that the engines can
-// serve: the largest flow through the layers, where a request takes of each
-// engine its share of full batches and the time of its positions.
+// bound returns the upper bound of the requests a second that the engines can
+// serve: the maximum flow through the layers, if each request takes from an engine
+// its share of full batches and the time of its positions.
 func (s site) bound(engines []lab.Engine) float64 {
 	n := flow.Network{Layers: s.layers}
 	for _, e := range engines {
@@ -98,7 +99,7 @@
 	return n.Bound()
 }
 
-// teams are ten teams, two of them large.
+// teams returns the weights of ten teams, two of them large.
 func teams() map[string]float64 {
 	weights := map[string]float64{"team-0": 4, "team-1": 4}
 	for i := 2; i < 10; i++ {
@@ -107,10 +108,10 @@
 	return weights
 }
 
-// instant is a plain service that answers at once.
-type instant struct{}
+// instantService is a plain service that answers without delay.
+type instantService struct{}
 
-func (instant) Do(context.Context, service.Request) (service.Reply, error) {
+func (instantService) Do(context.Context, service.Request) (service.Reply, error) {
 	return service.Reply{Status: http.StatusOK}, nil
 }
 
@@ -119,7 +120,8 @@
 	return s.openWith(ctx, chooser, 0)
 }
 
-// openWith starts a lab whose entries queue so many requests at most.
+// openWith starts a lab of the site whose entries queue at most queue requests; 0
+// for the default.
 func (s site) openWith(ctx context.Context, chooser entry.Chooser, queue int) (*lab.Lab, error) {
 	l := &lab.Lab{
 		MaxQueue: queue,
@@ -132,34 +134,34 @@
 	}
 	for i := range plainCount {
 		l.Plains = append(l.Plains, lab.Plain{
-			Name: fmt.Sprintf("records-%d", i), Hall: s.halls[i%len(s.halls)], Service: "records", Do: instant{},
+			Name: fmt.Sprintf("records-%d", i), Hall: s.halls[i%len(s.halls)], Service: "records", Do: instantService{},
 		})
 	}
 	return l, l.Start(ctx)
 }
 
-// moment is a token given to a caller, or the end of a request.
-type moment struct {
+// delivery is the delivery of a token to a caller.
+type delivery struct {
 	at      time.Time
 	request int
 	token   bool
 }
 
-// trial is a load on a lab and what came of it.
+// trial applies load to a lab and collects the results.
 type trial struct {
 	site  site
 	lab   *lab.Lab
 	alive func(i int) bool // whether entry i takes callers; nil for always
 
-	mu      sync.Mutex
-	next    int
-	moments []moment
-	first   []time.Duration
-	between []time.Duration
-	results []result
+	mu         sync.Mutex
+	next       int
+	deliveries []delivery
+	first      []time.Duration
+	between    []time.Duration
+	results    []result
 }
 
-// result is the end of one request.
+// result describes one request that has ended.
 type result struct {
 	begin, end time.Time
 	request    int
@@ -167,14 +169,15 @@
 	attempts   int
 	tokens     int
 	err        error
-	// first is when the first token came, zero for none.
+	// first is when the first token arrived, zero if none did.
 	first time.Time
-	// gap is the longest time without a token, and gapFrom when it began.
+	// gap is the longest interval without a token, and gapFrom when it began.
 	gap     time.Duration
 	gapFrom time.Time
 }
 
-// request makes one request and notes what comes.
+// request sends one request, to the next entry that accepts callers, and records
+// its result.
 func (t *trial) request(ctx context.Context, team string) result {
 	t.mu.Lock()
 	id := t.next
@@ -184,7 +187,7 @@
 	for t.alive != nil && !t.alive(i) {
 		i = (i + 1) % len(t.lab.Entries)
 	}
-	// A request ends with its entry.
+	// The request ends when its entry is killed.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(t.lab.Life(t.lab.Entries[i].Name), cancel)()
@@ -206,11 +209,12 @@
 		return nil
 	})
 	r.end, r.attempts, r.tokens, r.err = time.Now(), usage.Attempts, usage.Tokens, err
-	t.note(r, at)
+	t.record(r, at)
 	return r
 }
 
-// prompt returns the prompt of a request: a part in common and one of its own.
+// prompt returns the prompt of a request: the shared prefix, then tokens that
+// depend on the request.
 func (t *trial) prompt(id int) []uint32 {
 	rnd := rand.New(rand.NewPCG(uint64(id), 7))
 	prompt := make([]uint32, t.site.prompt)
@@ -224,22 +228,22 @@
 	return prompt
 }
 
-func (t *trial) note(r result, at []time.Time) {
+func (t *trial) record(r result, at []time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.results = append(t.results, r)
-	for i, moment1 := range at {
-		t.moments = append(t.moments, moment{at: moment1, request: r.request, token: true})
+	for i, delivered := range at {
+		t.deliveries = append(t.deliveries, delivery{at: delivered, request: r.request, token: true})
 		if i == 0 {
-			t.first = append(t.first, moment1.Sub(r.begin))
+			t.first = append(t.first, delivered.Sub(r.begin))
 			continue
 		}
-		t.between = append(t.between, moment1.Sub(at[i-1]))
+		t.between = append(t.between, delivered.Sub(at[i-1]))
 	}
 }
 
-// endAfter returns a context that is cancelled after d. It has no deadline, which
-// requests would take for theirs.
+// endAfter returns a context that is cancelled after d. Unlike that of
+// context.WithTimeout it has no deadline, which the requests would adopt.
 func endAfter(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	timer := time.AfterFunc(d, cancel)
@@ -249,9 +253,9 @@
 	}
 }
 
-// keep holds n requests in flight until ctx ends, and then gives them up. They
-// start one after another over ramp, so that they are not in step.
-func (t *trial) keep(ctx context.Context, n int, ramp time.Duration) {
+// holdInFlight holds n requests in flight until ctx ends, and then cancels them. The start
+// of the first n is spread over ramp, so that they do not run in lockstep.
+func (t *trial) holdInFlight(ctx context.Context, n int, ramp time.Duration) {
 	var group sync.WaitGroup
 	for i := range n {
 		team := fmt.Sprintf("team-%d", i%10)
@@ -265,12 +269,12 @@
 	group.Wait()
 }
 
-// rate returns the tokens a second between two times.
+// rate returns the average number of tokens a second between two times.
 func (t *trial) rate(from, to time.Time) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
-	for _, m := range t.moments {
+	for _, m := range t.deliveries {
 		if m.at.After(from) && m.at.Before(to) {
 			n++
 		}
@@ -278,7 +282,7 @@
 	return float64(n) / to.Sub(from).Seconds()
 }
 
-// small returns a lab with one entry and n engines, a third of the layers each.
+// small returns a lab with one entry and n engines, each with a third of the layers.
 func (s site) small(n int) *lab.Lab {
 	l := &lab.Lab{
 		Entries: []lab.Host{{Name: "entry-0", Hall: s.halls[0]}},
--- a/cmd/measure/slopes.go
+++ b/cmd/measure/slopes.go
@@ -12,8 +12,10 @@
 
 type slopesCommand struct{}
 
-func (*slopesCommand) Name() string             { return "slopes" }
-func (*slopesCommand) Synopsis() string         { return "state, messages and processor time by size" }
+func (*slopesCommand) Name() string { return "slopes" }
+func (*slopesCommand) Synopsis() string {
+	return "measure memory, message sizes and processor time by size"
+}
 func (*slopesCommand) Usage() string            { return "measure slopes\n" }
 func (*slopesCommand) SetFlags(_ *flag.FlagSet) {}
 
--- a/cmd/measure/slopes_live.go
+++ b/cmd/measure/slopes_live.go
@@ -14,8 +14,8 @@
 	"github.com/grademill/grademill/state/replica"
 )
 
-// spent returns the processor time for each of n repetitions of f.
-func spent(n int, f func()) time.Duration {
+// meanCPUTime returns the mean processor time of n calls of f.
+func meanCPUTime(n int, f func()) time.Duration {
 	begin := cputime.Used()
 	for range n {
 		f()
@@ -23,22 +23,23 @@
 	return (cputime.Used() - begin) / time.Duration(n)
 }
 
-// processorTimes prints the processor time of control work and of tokens.
+// processorTimes prints the processor time of snapshots, policy decisions,
+// heartbeats and tokens.
 func processorTimes(ctx context.Context, out *tabwriter.Writer) error {
 	fmt.Fprintln(out, "processor time\t\t\t\teach")
 	for _, n := range []int{80, 320, 1280} {
 		built := viewOf(n).([]any)[0].(*view.View)
-		took := spent(20, func() { built.Snapshot(map[string]config.Object[config.Service]{}) })
+		took := meanCPUTime(20, func() { built.Snapshot(map[string]config.Object[config.Service]{}) })
 		fmt.Fprintf(out, "rebuild of the snapshot\t%d endpoints\t\t\t%v\n", n, took)
 	}
 	set, err := policy.Compile(map[string]config.Object[config.Policy]{})
 	if err != nil {
 		return err
 	}
-	took := spent(100_000, func() { set.Decide(policy.Request{Team: "team-7", Service: "assistant"}, true) })
+	took := meanCPUTime(100_000, func() { set.Decide(policy.Request{Team: "team-7", Service: "assistant"}, true) })
 	fmt.Fprintf(out, "decision with no policy\t\t\t\t%v\n", took)
 	policies := policiesOf(20).(*replica.Config).Current().Policies
-	took = spent(5000, func() { policies.Decide(policy.Request{Team: "none", Service: "assistant"}, true) })
+	took = meanCPUTime(5000, func() { policies.Decide(policy.Request{Team: "none", Service: "assistant"}, true) })
 	fmt.Fprintf(out, "decision with 20 policies\t\t\t\t%v\n", took)
 	if err := out.Flush(); err != nil {
 		return err
@@ -46,7 +47,8 @@
 	return liveSlopes(ctx, out)
 }
 
-// liveSlopes runs labs of growing size without load and then with load.
+// liveSlopes prints the memory and processor time of labs of growing size, without
+// load and then with load.
 func liveSlopes(ctx context.Context, out *tabwriter.Writer) error {
 	if err := memorySlopes(ctx, out); err != nil {
 		return err
@@ -68,8 +70,8 @@
 	return out.Flush()
 }
 
-// live returns the bytes of heap and stacks in use.
-func live() uint64 {
+// memoryInUse returns the bytes of heap and stacks in use after garbage collection.
+func memoryInUse() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -77,20 +79,20 @@
 	return m.HeapAlloc + m.StackInuse
 }
 
-// agentMemory returns the bytes that n agents add, both ends of their
-// connections and the agents themselves included.
+// agentMemory returns the bytes that n agents add, including both ends of their
+// connections.
 func agentMemory(ctx context.Context, n int) (uint64, error) {
-	before := live()
+	before := memoryInUse()
 	l := ramdin.small(n)
 	if err := l.Start(ctx); err != nil {
 		return 0, err
 	}
 	defer l.Close()
-	time.Sleep(settle)
-	return live() - before, nil
+	time.Sleep(settleTime)
+	return memoryInUse() - before, nil
 }
 
-// requestMemory returns the bytes that n requests in flight add, at their entry,
+// requestMemory returns the bytes that n requests in flight add, each at its entry,
 // three agents and three engines.
 func requestMemory(ctx context.Context, n int) (uint64, error) {
 	s := ramdin
@@ -101,26 +103,27 @@
 		return 0, err
 	}
 	defer l.Close()
-	before := live()
+	before := memoryInUse()
 	t := &trial{site: s, lab: l}
-	load, cancel := endAfter(ctx, 2*settle)
+	load, cancel := endAfter(ctx, 2*settleTime)
 	defer cancel()
 	ended := make(chan struct{})
 	go func() {
-		t.keep(load, n, 0)
+		t.holdInFlight(load, n, 0)
 		close(ended)
 	}()
-	time.Sleep(settle)
-	used := live() - before
+	time.Sleep(settleTime)
+	used := memoryInUse() - before
 	cancel()
 	<-ended
 	return used, nil
 }
 
-// settle lets a lab come to rest.
-const settle = 2 * time.Second
+// settleTime is how long a lab may take to reach a steady state.
+const settleTime = 2 * time.Second
 
-// memorySlopes prints what agents and requests add to a process of all roles.
+// memorySlopes prints the memory that agents and requests in flight add to a process
+// that runs all roles.
 func memorySlopes(ctx context.Context, out *tabwriter.Writer) error {
 	for _, kind := range []struct {
 		name    string
@@ -163,8 +166,8 @@
 	return (cputime.Used() - begin) / time.Duration(beats), nil
 }
 
-// tokenCost returns the processor time of one token, that of the stand-in
-// engines and of the load included, and the tokens a second.
+// tokenCost returns the processor time of one token, including that of the stand-in
+// engines and of the load generator, and the tokens a second.
 func tokenCost(ctx context.Context, inFlight int) (time.Duration, float64, error) {
 	l := ramdin.small(9)
 	if err := l.Start(ctx); err != nil {
@@ -176,8 +179,8 @@
 	load, cancel := endAfter(ctx, span)
 	defer cancel()
 	begin := cputime.Used()
-	t.keep(load, inFlight, 0)
+	t.holdInFlight(load, inFlight, 0)
 	used := cputime.Used() - begin
-	tokens := max(len(t.moments), 1)
+	tokens := max(len(t.deliveries), 1)
 	return used / time.Duration(tokens), float64(tokens) / span.Seconds(), nil
 }
--- a/cmd/measure/slopes_state.go
+++ b/cmd/measure/slopes_state.go
@@ -20,7 +20,7 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// state is something whose memory grows with a number.
+// state is a kind of state whose memory grows with the number of its elements.
 type state struct {
 	name  string
 	sizes []int
@@ -42,7 +42,7 @@
 	fmt.Fprintf(out, "\t%.0f B each\n", slope)
 }
 
-// heapOf returns the bytes that a built value holds.
+// heapOf returns the bytes of heap that the value returned by build holds.
 func heapOf(build func() any) uint64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -62,7 +62,7 @@
 		{"configuration: team", []int{100, 400, 1600}, teamsOf},
 		{"configuration: policy, compiled", []int{10, 40, 160}, policiesOf},
 		{"configuration: change in the tail", []int{64, 128, 256}, tailOf},
-		{"agent: call that is remembered", []int{1000, 4000, 16000}, callsOf},
+		{"agent: remembered call", []int{1000, 4000, 16000}, callsOf},
 		{"platform: claim in a log, as stored", []int{100, 400, 1600}, claimsOf},
 	}
 }
@@ -87,14 +87,14 @@
 	return []any{v, v.Snapshot(services)}
 }
 
-// stateOf returns a replica after n changes.
+// stateOf returns a replica of a configuration after n changes.
 func stateOf(n int, change func(i int) config.Change) *replica.Config {
 	r := replica.New()
 	state := new(config.State)
 	for i := range n {
 		next, err := state.With(uint64(i+1), change(i))
 		if err != nil {
-			panic(err) // the changes are made here
+			panic(err) // the changes generated here are valid
 		}
 		state = next
 	}
@@ -147,7 +147,7 @@
 	return append([]byte(nil), stored...)
 }
 
-// claimRecord returns one claim as it is stored.
+// claimRecord returns the stored form of one claim.
 func claimRecord() []byte {
 	c := claim.Claim{
 		ID: uuid.NewString(), Key: fmt.Sprintf("%032d", 7), Digest: fmt.Sprintf("%032d", 8), Endpoint: "records-17",
--- a/cmd/measure/slopes_wire.go
+++ b/cmd/measure/slopes_wire.go
@@ -7,7 +7,7 @@
 	"github.com/grademill/grademill/wire"
 )
 
-// message is a message with its size as it travels.
+// message is the name of a message with its encoded size.
 type message struct {
 	name  string
 	bytes int
@@ -45,13 +45,13 @@
 	}
 }
 
-// frameSize returns the size of a frame.
+// frameSize returns the size of a frame that carries b, with its length prefix.
 func frameSize(b *wire.Batch) int {
 	const head = 4
 	return head + proto.Size(b)
 }
 
-// envelope is what JSON-RPC adds to parameters or a result.
+// envelope is the text that JSON-RPC adds to parameters or a result.
 const envelope = `{"method":"","params":,"id":1234,"jsonrpc":"2.0"}` + "\n"
 
 func jsonSize(method string, m proto.Message) int {
--- a/cmd/measure/throughput.go
+++ b/cmd/measure/throughput.go
@@ -17,7 +17,8 @@
 	"github.com/grademill/grademill/role/entry"
 )
 
-// quantile returns the q-quantile of sorted or unsorted times.
+// quantile returns the q-quantile of times, which need not be sorted; 0 if there
+// are none.
 func quantile(times []time.Duration, q float64) time.Duration {
 	if len(times) == 0 {
 		return 0
@@ -27,14 +28,14 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// way is a way to choose chains.
-type way struct {
+// strategy is a strategy for choosing chains. A nil chooser is the router's own.
+type strategy struct {
 	name    string
 	chooser entry.Chooser
 }
 
-func ways() []way {
-	return []way{
+func strategies() []strategy {
+	return []strategy{
 		{"router", nil},
 		{"random", entry.Chooser(baseline.Random())},
 		{"round robin", entry.Chooser(baseline.RoundRobin())},
@@ -52,16 +53,16 @@
 }
 
 func (*throughputCommand) Name() string     { return "throughput" }
-func (*throughputCommand) Synopsis() string { return "tokens a second against the bound" }
+func (*throughputCommand) Synopsis() string { return "measure tokens a second against the upper bound" }
 func (*throughputCommand) Usage() string    { return "measure throughput [flags]\n" }
 
 func (c *throughputCommand) SetFlags(f *flag.FlagSet) {
-	f.DurationVar(&c.window, "window", 10*time.Second, "time measured, after a warm-up of 8 s")
-	f.IntVar(&c.inFlight, "in-flight", 1000, "requests kept in flight")
+	f.DurationVar(&c.window, "window", 10*time.Second, "duration of the measurement, after a warm-up of 8 s")
+	f.IntVar(&c.inFlight, "in-flight", 1000, "number of requests in flight")
 	f.Float64Var(&c.wait, "wait-factor", 0, "wait factor of the agents, 0 for their default")
-	f.BoolVar(&c.engines, "engines", false, "print what each engine did")
+	f.BoolVar(&c.engines, "engines", false, "print the utilization of each engine")
 	f.StringVar(&c.load, "load", "", "measure only this load")
-	f.StringVar(&c.only, "only", "", "measure only this way to choose")
+	f.StringVar(&c.only, "only", "", "measure only this strategy")
 }
 
 func (c *throughputCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -70,7 +71,7 @@
 	for _, s := range []site{ramdin, greenbough} {
 		s.waitFactor = c.wait
 		for _, v := range variants(s) {
-			for _, w := range ways() {
+			for _, w := range strategies() {
 				if c.load != "" && v.load != c.load {
 					continue
 				}
@@ -101,7 +102,7 @@
 	return []variant{{s, "even"}, {slow, "one hall slow"}, {prefix, "prefix-heavy"}}
 }
 
-func (c *throughputCommand) measure(ctx context.Context, out *tabwriter.Writer, v variant, w way) error {
+func (c *throughputCommand) measure(ctx context.Context, out *tabwriter.Writer, v variant, w strategy) error {
 	l, err := v.open(ctx, w.chooser)
 	if err != nil {
 		return err
@@ -112,7 +113,7 @@
 	load, cancel := endAfter(ctx, warmUp+c.window)
 	defer cancel()
 	begin := time.Now()
-	t.keep(load, c.inFlight, warmUp/2)
+	t.holdInFlight(load, c.inFlight, warmUp/2)
 	from := begin.Add(warmUp)
 	rate := t.rate(from, from.Add(c.window))
 	bound := v.bound(l.Engines) * float64(v.answer)
@@ -136,7 +137,7 @@
 	return out.Flush()
 }
 
-// printEngines prints how busy each engine was, and how full its batches were.
+// printEngines prints the utilization and the mean batch size of each engine.
 func printEngines(out *tabwriter.Writer, l *lab.Lab, elapsed time.Duration) {
 	for _, e := range l.Engines {
 		w := l.Work(e.Name)
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// answer requests a completion and writes it as it streams. After half of the tokens it calls middle,
+// answer requests a completion and writes it as it streams. After half of the tokens it calls onHalf,
 // if not nil, with the endpoints of the chain.
 func (d *Demo) answer(ctx context.Context, e *entry.Entry, prompt string, onHalf func(chain []string)) (Answer, error) {
 	fmt.Fprintf(d.Out, "%s -> ", prompt)
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -86,14 +86,14 @@
 	// Store is the stand-in for the platform, set by Start.
 	Store *platform.Store
 
-	mu        sync.Mutex
-	group     sync.WaitGroup
-	entries   []*entry.Entry
-	agents    map[string]*agent.Agent
-	engines   map[string]*engine.Engine
-	addresses map[string]string
-	cancels   map[string]context.CancelFunc
-	contexts  map[string]context.Context
+	mu       sync.Mutex
+	group    sync.WaitGroup
+	entries  []*entry.Entry
+	agents   map[string]*agent.Agent
+	engines  map[string]*engine.Engine
+	address  map[string]string
+	cancels  map[string]context.CancelFunc
+	contexts map[string]context.Context
 }
 
 // Defaults of fields of Lab that are zero.
@@ -105,12 +105,12 @@
 
 // Start starts all processes and returns once every entry knows every endpoint and
 // the configuration. It returns an UnsettledError if that takes longer than
-// settleTimeout.
+// startTimeout.
 func (l *Lab) Start(ctx context.Context) error {
 	l.Store = new(platform.Store)
 	l.agents = make(map[string]*agent.Agent)
 	l.engines = make(map[string]*engine.Engine)
-	l.addresses = make(map[string]string)
+	l.address = make(map[string]string)
 	l.cancels = make(map[string]context.CancelFunc)
 	l.contexts = make(map[string]context.Context)
 	if err := l.startEntries(ctx); err != nil {
@@ -213,7 +213,7 @@
 		}
 		e.Prepare()
 		l.entries = append(l.entries, e)
-		l.addresses[h.Name] = peers[i]
+		l.address[h.Name] = peers[i]
 		l.run(ctx, h.Name, e.Run)
 	}
 	return nil
@@ -280,7 +280,7 @@
 func (l *Lab) startAgent(ctx context.Context, a *agent.Agent) error {
 	a.Address = freeAddress()
 	for _, h := range l.Entries {
-		a.Entries = append(a.Entries, l.addresses[h.Name])
+		a.Entries = append(a.Entries, l.address[h.Name])
 	}
 	a.Subset = len(l.Entries)
 	a.Heartbeat = orDefault(l.Heartbeat, defaultHeartbeat)
@@ -343,7 +343,7 @@
 	for !l.ready() {
 		select {
 		case <-ctx.Done():
-			return trace.Wrap(&UnsettledError{l.knownEndpoints()})
+			return trace.Wrap(&UnsettledError{l.known()})
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
@@ -362,7 +362,7 @@
 	return fmt.Sprintf("lab did not start in time: the entries know %v endpoints", e.Known)
 }
 
-func (l *Lab) knownEndpoints() []int {
+func (l *Lab) known() []int {
 	known := make([]int, len(l.entries))
 	for i, e := range l.entries {
 		known[i] = len(e.Snapshot().All)
@@ -372,7 +372,7 @@
 
 func (l *Lab) ready() bool {
 	revision := l.entries[0].Config().Revision()
-	for i, n := range l.knownEndpoints() {
+	for i, n := range l.known() {
 		if n < len(l.Engines)+len(l.Plains) || l.entries[i].Config().Revision() < revision {
 			return false
 		}
