--- a/cmd/measure/account.go
+++ b/cmd/measure/account.go
@@ -15,7 +15,7 @@
 	"github.com/google/subcommands"
 )
 
-// accountCommand prints where test days lost score.
+// accountCommand prints where test days lost score, which the table calls worth.
 type accountCommand struct{}
 
 func (*accountCommand) Name() string { return "account" }
--- a/cmd/measure/days.go
+++ b/cmd/measure/days.go
@@ -15,6 +15,7 @@
 )
 
 // daysCommand prints the table of docs/MEASURES.md from the journal of test days.
+// The table calls the score of a day its worth.
 type daysCommand struct{}
 
 func (*daysCommand) Name() string             { return "days" }
--- a/cmd/measure/placements.go
+++ b/cmd/measure/placements.go
@@ -27,6 +27,7 @@
 func (*placementsCommand) Synopsis() string {
 	return "compare placements of layers on randomly drawn halls"
 }
+
 func (*placementsCommand) Usage() string {
 	return "measure placements [-fleets N] [-seed N]\n  Prints, for each strategy, the room for requests as a share of the bound, before and after the loss of a card.\n"
 }
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -213,13 +213,13 @@
 // Announce writes the record of an endpoint to the store as ready.
 func (s *Site) Announce(e *Endpoint) { s.announce(e, "ready") }
 
-// Leave writes the record of an endpoint as draining, which tells that it is about to end.
+// Leave writes the record of an endpoint as draining: it is about to end.
 func (s *Site) Leave(e *Endpoint) { s.announce(e, "draining") }
 
 // Overwrite replaces the record of an endpoint by a text, as another writer of the store might.
 func (s *Site) Overwrite(e *Endpoint, text string) { s.Store.SetText("servers/"+e.ID, []byte(text)) }
 
-// Withdraw removes the record of an endpoint, which goes on serving.
+// Withdraw removes the record of an endpoint, which keeps serving.
 func (s *Site) Withdraw(e *Endpoint) { s.Store.Remove("servers/" + e.ID) }
 
 func (s *Site) announce(e *Endpoint, state string) {
