--- a/test/proof/config_test.go
+++ b/test/proof/config_test.go
@@ -29,34 +29,34 @@
 	objectName      = "rush-hour"
 )
 
-// faulty is a store with faults that change by a seed: outages, lost answers,
-// and delays around each call, in which a writer may be overtaken.
+// faulty is a store with random faults drawn from a seed: outages, lost responses,
+// and delays before and after each call, so that writers can overtake each other.
 type faulty struct {
 	kv.Store
 	mu  sync.Mutex
 	rnd *rand.Rand
-	// loose drops the condition of writes, to show what it is for.
-	loose bool
-	// quiet ends the faults.
-	quiet bool
+	// unconditional drops the condition of writes, to show that the check needs it.
+	unconditional bool
+	// faultsEnded turns all faults off.
+	faultsEnded bool
 }
 
-// faultError is a call that got no answer.
+// faultError is the error of a call without a response.
 type faultError struct{}
 
 func (faultError) Error() string { return "no answer" }
 
-// fate draws what becomes of a call.
-func (f *faulty) fate() (before, after time.Duration, lost, unsent bool) {
+// drawFault draws the delays of a call, and whether its response is lost or it is never sent.
+func (f *faulty) drawFault() (before, after time.Duration, lost, unsent bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.quiet {
+	if f.faultsEnded {
 		return 0, 0, false, false
 	}
 	pause := func() time.Duration {
 		d := time.Duration(f.rnd.IntN(20)) * time.Millisecond
 		if f.rnd.IntN(20) == 0 {
-			d *= 100 // a process that is paused
+			d *= 100 // simulates a paused process
 		}
 		return d
 	}
@@ -64,7 +64,7 @@
 }
 
 func (f *faulty) Get(ctx context.Context, key string) (kv.Pair, error) {
-	before, after, lost, unsent := f.fate()
+	before, after, lost, unsent := f.drawFault()
 	time.Sleep(before)
 	if lost || unsent {
 		return kv.Pair{}, &kv.UnavailableError{Err: faultError{}}
@@ -75,17 +75,17 @@
 }
 
 func (f *faulty) Put(ctx context.Context, w kv.Write) (uint64, error) {
-	before, after, lost, unsent := f.fate()
+	before, after, lost, unsent := f.drawFault()
 	time.Sleep(before)
 	if unsent {
 		return 0, &kv.UnavailableError{Err: faultError{}}
 	}
-	if f.loose {
+	if f.unconditional {
 		if pair, err := f.Store.Get(ctx, w.Key); err == nil {
 			w.If = pair.Revision
 		}
 	}
-	// A write that is on its way takes effect whether or not its sender waits.
+	// A write in flight takes effect whether or not its sender still waits.
 	revision, err := f.Store.Put(context.WithoutCancel(ctx), w)
 	time.Sleep(after)
 	if lost {
@@ -94,14 +94,14 @@
 	return revision, err
 }
 
-// change is one operation of an operator.
+// change is one operation of an operator: a write on the condition that the object is at revision match.
 type change struct {
 	match uint64
 	id    string
 }
 
-// changeResult is its outcome: accepted with a revision, refused because the
-// object was at another, or open.
+// changeResult is the outcome of a change: accepted with a revision, refused because the
+// object was at another revision, or unknown (open).
 type changeResult struct {
 	accepted uint64
 	refused  bool
@@ -109,7 +109,7 @@
 	open     bool
 }
 
-// objectModel is one object under compare-and-swap by revision.
+// objectModel is the sequential model of one object under compare-and-swap by revision.
 var objectModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -121,7 +121,7 @@
 	},
 }
 
-// configRun is a history of racing operators, and what replicas saw.
+// configRun is a history of concurrent changes and of the revisions that replicas observed.
 type configRun struct {
 	operations []porcupine.Operation
 	seen       [][]uint64 // revisions in force, by replica
@@ -129,7 +129,7 @@
 	log        headlog.Head
 }
 
-// operate makes changes one after another, each on what the operator last saw.
+// operate makes changes one after another, each conditional on the revision that the operator last saw.
 func operate(r *configRun, mu *sync.Mutex, who int, log *conflog.Log) {
 	for i := range configChanges {
 		current := log.Replica.Current().State
@@ -156,11 +156,11 @@
 	}
 }
 
-// runConfig runs operators and replicas on a virtual clock.
-func runConfig(t *testing.T, seed uint64, loose bool) *configRun {
+// runConfig runs concurrent operators and replicas on a virtual clock.
+func runConfig(t *testing.T, seed uint64, unconditional bool) *configRun {
 	r := new(configRun)
 	synctest.Test(t, func(t *testing.T) {
-		store := &faulty{Store: new(platform.Store), rnd: rand.New(rand.NewPCG(seed, 2)), loose: loose}
+		store := &faulty{Store: new(platform.Store), rnd: rand.New(rand.NewPCG(seed, 2)), unconditional: unconditional}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		var mu sync.Mutex
@@ -180,9 +180,9 @@
 		}
 		operators.Wait()
 		store.mu.Lock()
-		store.quiet = true
+		store.faultsEnded = true
 		store.mu.Unlock()
-		time.Sleep(time.Minute) // writes on their way arrive
+		time.Sleep(time.Minute) // writes in flight arrive
 		for _, log := range logs {
 			_ = log.Pull(ctx)
 			r.final = append(r.final, log.Replica.Current().State)
@@ -197,8 +197,8 @@
 	return r
 }
 
-// settle gives the open operations the outcome that the log shows. One that the
-// log does not have took no effect.
+// settle replaces the unknown outcomes by those found in the log. A change that the log
+// does not contain took no effect and is left out.
 func (r *configRun) settle() []porcupine.Operation {
 	var settled []porcupine.Operation
 	for _, op := range r.operations {
@@ -215,7 +215,7 @@
 	return settled
 }
 
-// violation returns what is wrong with the history, or nothing.
+// violation describes the first violation found in the history, or returns "".
 func (r *configRun) violation() string {
 	if !porcupine.CheckOperations(objectModel, r.settle()) {
 		return "the changes are not linearizable"
@@ -223,13 +223,13 @@
 	for i, seen := range r.seen {
 		for j := 1; j < len(seen); j++ {
 			if seen[j] < seen[j-1] {
-				return fmt.Sprintf("replica %d went back from %d to %d", i, seen[j-1], seen[j])
+				return fmt.Sprintf("replica %d went back from revision %d to %d", i, seen[j-1], seen[j])
 			}
 		}
 	}
 	for i, state := range r.final {
 		if state.Revision != r.log.Revision() || fmt.Sprint(state.Policies) != fmt.Sprint(r.final[0].Policies) {
-			return fmt.Sprintf("replica %d ends at %d, the log at %d", i, state.Revision, r.log.Revision())
+			return fmt.Sprintf("replica %d ends at revision %d, the log at %d, or their policies differ", i, state.Revision, r.log.Revision())
 		}
 	}
 	return ""
@@ -247,7 +247,8 @@
 		configSeeds, configSeeds*configOperators*configChanges, accepted)
 }
 
-// Without the condition on writes, racing operators undo accepted changes.
+// Guards against a check that cannot fail: without the condition on writes,
+// concurrent operators overwrite accepted changes.
 func TestWithoutCompareAndSwapTheCheckFails(t *testing.T) {
 	violations := 0
 	for seed := range uint64(configSeeds) {
--- a/test/proof/once_test.go
+++ b/test/proof/once_test.go
@@ -23,18 +23,18 @@
 )
 
 const (
-	onceSeeds   = 60
-	onceKeys    = 12
-	onceEntries = 3
-	onceTries   = 3
-	onceAgents  = 2
-	onceEpoch   = 100 * time.Millisecond
-	onceKeep    = 2 * time.Second
+	onceSeeds    = 60
+	onceKeys     = 12
+	onceEntries  = 3
+	onceAttempts = 3
+	onceAgents   = 2
+	onceEpoch    = 100 * time.Millisecond
+	onceKeep     = 2 * time.Second
 )
 
-// host is an agent that is killed and replaced now and then; what ran beside it
-// is recorded outside.
-type host struct {
+// agent simulates an agent that is killed and replaced now and then. The cluster,
+// not the agent, records which calls ran.
+type agent struct {
 	mu          sync.Mutex
 	name        string
 	incarnation uint64
@@ -42,8 +42,8 @@
 	done        map[once.Key]chan struct{}
 }
 
-// replace kills the agent and starts another in its place, with no memory.
-func (h *host) replace() {
+// replace kills the agent and starts another in its place, without state.
+func (h *agent) replace() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.incarnation++
@@ -51,72 +51,72 @@
 	h.done = make(map[once.Key]chan struct{})
 }
 
-func (h *host) endpoint() fleet.Endpoint {
+func (h *agent) endpoint() fleet.Endpoint {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return fleet.Endpoint{Name: h.name, Address: h.name, Incarnation: h.incarnation, Epoch: h.calls.Now(time.Now())}
 }
 
-// shop is entries, agents and their records on a virtual clock.
-type shop struct {
-	mu    sync.Mutex
-	rnd   *rand.Rand
-	hosts map[string]*host
-	ran   map[string]int // by key
-	// unclaimed drops the claims, to show what they are for.
-	unclaimed bool
-	// unsettled takes silence for a proof that a call did not run.
-	unsettled bool
+// cluster simulates the agents and records which calls ran, on a virtual clock.
+type cluster struct {
+	mu     sync.Mutex
+	rnd    *rand.Rand
+	agents map[string]*agent
+	ran    map[string]int // by key
+	// withoutClaims skips the claims, to show that the check needs them.
+	withoutClaims bool
+	// withoutSettlement takes a missing response for proof that the call did not run.
+	withoutSettlement bool
 }
 
-func (s *shop) pause() {
+func (s *cluster) pause() {
 	s.mu.Lock()
 	d := time.Duration(s.rnd.IntN(30)) * time.Millisecond
 	if s.rnd.IntN(12) == 0 {
-		d *= 60 // frozen for longer than a call may wait to start
+		d *= 60 // simulates a process paused for longer than a call may wait to start
 	}
 	s.mu.Unlock()
 	time.Sleep(d)
 }
 
-func (s *shop) chance(n int) bool {
+func (s *cluster) chance(n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rnd.IntN(n) == 0
 }
 
-// lostCall is a call without an answer.
+// lostCall is the error of a call without a response.
 type lostCall struct{}
 
 func (lostCall) Error() string { return "no answer" }
 
 // Enter implements runonce.Seats.
-func (s *shop) Enter(context.Context, map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
-	return s.host().endpoint(), func() {}, nil
+func (s *cluster) Enter(context.Context, map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
+	return s.agent().endpoint(), func() {}, nil
 }
 
-// host returns any host.
-func (s *shop) host() *host {
+// agent returns a random agent.
+func (s *cluster) agent() *agent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.hosts[fmt.Sprintf("host-%d", s.rnd.IntN(onceAgents))]
+	return s.agents[fmt.Sprintf("host-%d", s.rnd.IntN(onceAgents))]
 }
 
-// Send implements runonce.Agents. The call arrives late, or its answer is lost;
-// it arrives even when its sender no longer waits.
-func (s *shop) Send(_ context.Context, at fleet.Endpoint, c claim.Claim, _ string) (*wire.CallReply, error) {
+// Send implements runonce.Agents. The call may arrive late, or its response may be
+// lost; it arrives even when its sender no longer waits.
+func (s *cluster) Send(_ context.Context, at fleet.Endpoint, c claim.Claim, _ string) (*wire.CallReply, error) {
 	if s.chance(10) {
 		return &wire.CallReply{Outcome: wire.CallReply_NOT_RUN}, nil
 	}
 	if s.chance(6) {
 		go func() {
 			s.pause()
-			s.arrive(s.hosts[at.Name], c)
+			s.arrive(s.agents[at.Name], c)
 		}()
 		return nil, lostCall{}
 	}
 	s.pause()
-	reply := s.arrive(s.hosts[at.Name], c)
+	reply := s.arrive(s.agents[at.Name], c)
 	s.pause()
 	if s.chance(6) {
 		return nil, lostCall{}
@@ -129,8 +129,8 @@
 	return once.Ticket{Key: once.Key(key), Claim: c.ID, Epoch: c.Epoch}
 }
 
-// arrive is a call at its agent.
-func (s *shop) arrive(h *host, c claim.Claim) *wire.CallReply {
+// arrive handles a call at its agent.
+func (s *cluster) arrive(h *agent, c claim.Claim) *wire.CallReply {
 	h.mu.Lock()
 	if h.incarnation != c.Incarnation {
 		h.mu.Unlock()
@@ -160,7 +160,7 @@
 	return &wire.CallReply{Outcome: wire.CallReply_DONE}
 }
 
-func (h *host) reply(calls *once.Table[*wire.CallReply], key once.Key, wait chan struct{}) *wire.CallReply {
+func (h *agent) reply(calls *once.Table[*wire.CallReply], key once.Key, wait chan struct{}) *wire.CallReply {
 	if wait != nil {
 		<-wait
 	}
@@ -173,15 +173,15 @@
 }
 
 // Settle implements runonce.Agents.
-func (s *shop) Settle(_ context.Context, c claim.Claim) (*wire.CallReply, error) {
+func (s *cluster) Settle(_ context.Context, c claim.Claim) (*wire.CallReply, error) {
 	s.pause()
-	if s.unsettled {
+	if s.withoutSettlement {
 		return &wire.CallReply{Outcome: wire.CallReply_NOT_RUN}, nil
 	}
 	if s.chance(8) {
 		return nil, lostCall{}
 	}
-	h := s.hosts[c.Endpoint]
+	h := s.agents[c.Endpoint]
 	h.mu.Lock()
 	if h.incarnation != c.Incarnation {
 		h.mu.Unlock()
@@ -200,41 +200,41 @@
 	return h.reply(calls, t.Key, wait), nil
 }
 
-// Claim implements runonce.Claimer for a shop without claims.
-func (s *shop) Claim(claim.Claim) error { return nil }
+// Claim implements runonce.Claimer for a cluster without claims.
+func (s *cluster) Claim(claim.Claim) error { return nil }
 
-// tally is the outcomes that the callers of a key were told.
+// tally counts the outcomes reported to the callers of one key.
 type tally struct {
 	done, notRun, open int
 }
 
-// runShop lets all entries ask for all keys, several times each.
-func runShop(t *testing.T, seed uint64, set func(*shop)) (ran map[string]int, told map[string]*tally) {
-	told = make(map[string]*tally)
+// runCluster makes all entries send calls with all keys, several times each.
+func runCluster(t *testing.T, seed uint64, set func(*cluster)) (ran map[string]int, outcomes map[string]*tally) {
+	outcomes = make(map[string]*tally)
 	synctest.Test(t, func(*testing.T) {
-		s := &shop{rnd: rand.New(rand.NewPCG(seed, 3)), hosts: make(map[string]*host), ran: make(map[string]int)}
+		s := &cluster{rnd: rand.New(rand.NewPCG(seed, 3)), agents: make(map[string]*agent), ran: make(map[string]int)}
 		set(s)
 		for i := range onceAgents {
-			h := &host{name: fmt.Sprintf("host-%d", i)}
+			h := &agent{name: fmt.Sprintf("host-%d", i)}
 			h.replace()
-			s.hosts[h.name] = h
+			s.agents[h.name] = h
 		}
 		store := &faulty{Store: new(platform.Store), rnd: rand.New(rand.NewPCG(seed, 4))}
 		var mu sync.Mutex
 		var group sync.WaitGroup
 		for key := range onceKeys {
-			told[keyName(key)] = new(tally)
+			outcomes[keyName(key)] = new(tally)
 		}
 		for range onceEntries {
 			log := &claimlog.Log{Store: store, Keep: time.Minute, Gather: time.Millisecond, Timeout: time.Second}
 			var claims runonce.Claimer = log
-			if s.unclaimed {
+			if s.withoutClaims {
 				claims = s
 			}
 			for key := range onceKeys {
 				name := keyName(key)
 				group.Go(func() {
-					for range onceTries {
+					for range onceAttempts {
 						s.pause()
 						r := &runonce.Runner{
 							Claims: claims, Agents: s, Seats: s, MayRetry: func() bool { return !s.chance(4) },
@@ -242,7 +242,7 @@
 						}
 						_, report := r.Run(context.Background())
 						mu.Lock()
-						told[name].count(report)
+						outcomes[name].count(report)
 						mu.Unlock()
 					}
 				})
@@ -250,16 +250,16 @@
 		}
 		for range 20 {
 			time.Sleep(150 * time.Millisecond)
-			s.host().replace()
+			s.agent().replace()
 		}
 		group.Wait()
-		time.Sleep(time.Minute) // what is still on its way arrives
+		time.Sleep(time.Minute) // calls in flight arrive
 		ran = s.ran
 	})
-	return ran, told
+	return ran, outcomes
 }
 
-// keyName returns the hash of a key, for want of a real one.
+// keyName returns a stand-in for the hash of a key.
 func keyName(key int) string {
 	return hex.EncodeToString(fmt.Appendf(nil, "key-%012d", key))
 }
@@ -275,16 +275,16 @@
 	}
 }
 
-// onceViolation returns what is wrong with the outcomes, or nothing.
-func onceViolation(ran map[string]int, told map[string]*tally) string {
-	for key, t := range told {
+// onceViolation describes a violation found in the outcomes, or returns "".
+func onceViolation(ran map[string]int, outcomes map[string]*tally) string {
+	for key, t := range outcomes {
 		switch {
 		case ran[key] > 1:
 			return fmt.Sprintf("%s ran %d times", key, ran[key])
 		case t.done > 0 && ran[key] == 0:
-			return fmt.Sprintf("%s is said to be done and has not run", key)
+			return fmt.Sprintf("%s was reported as done but did not run", key)
 		case t.done+t.open == 0 && ran[key] > 0:
-			return fmt.Sprintf("%s is said not to have run and ran", key)
+			return fmt.Sprintf("%s was reported as not run but ran", key)
 		}
 	}
 	return ""
@@ -293,9 +293,9 @@
 func TestAtMostOnce(t *testing.T) {
 	var sum tally
 	for seed := range uint64(onceSeeds) {
-		ran, told := runShop(t, seed, func(*shop) {})
-		require.Empty(t, onceViolation(ran, told), "seed %d", seed)
-		for _, k := range told {
+		ran, outcomes := runCluster(t, seed, func(*cluster) {})
+		require.Empty(t, onceViolation(ran, outcomes), "seed %d", seed)
+		for _, k := range outcomes {
 			sum.done += k.done
 			sum.notRun += k.notRun
 			sum.open += k.open
@@ -304,13 +304,13 @@
 	require.Positive(t, sum.done)
 	require.Positive(t, sum.notRun)
 	require.Positive(t, sum.open)
-	t.Logf("%d histories: %d calls done, %d not run, %d in doubt", onceSeeds, sum.done, sum.notRun, sum.open)
+	t.Logf("%d histories: %d calls done, %d not run, %d unknown", onceSeeds, sum.done, sum.notRun, sum.open)
 }
 
 func TestWithoutClaimsTheCheckFails(t *testing.T) {
 	violations := 0
 	for seed := range uint64(onceSeeds) {
-		if onceViolation(runShop(t, seed, func(s *shop) { s.unclaimed = true })) != "" {
+		if onceViolation(runCluster(t, seed, func(s *cluster) { s.withoutClaims = true })) != "" {
 			violations++
 		}
 	}
@@ -320,7 +320,7 @@
 func TestWithoutSettlementTheCheckFails(t *testing.T) {
 	violations := 0
 	for seed := range uint64(onceSeeds / 6) {
-		if onceViolation(runShop(t, seed, func(s *shop) { s.unsettled = true })) != "" {
+		if onceViolation(runCluster(t, seed, func(s *cluster) { s.withoutSettlement = true })) != "" {
 			violations++
 		}
 	}
--- a/test/proof/steps_test.go
+++ b/test/proof/steps_test.go
@@ -1,6 +1,6 @@
-// Package proof_test checks histories of many schedules against the promises.
-// Where a mechanism can be switched off, a test shows that the check then
-// fails.
+// Package proof_test runs the decision packages under many random schedules and
+// checks the recorded histories against the guarantees. Where a mechanism can be
+// switched off, a test shows that the check then fails.
 package proof_test
 
 import (
@@ -16,16 +16,16 @@
 )
 
 const (
-	schedules   = 2000
-	pathStages  = 3
-	pathLayers  = 6
-	pathPrompt  = 4
-	pathAnswer  = 6
-	pathMaxTry  = 5
-	pathMaxMove = 4000
+	schedules       = 2000
+	pathStages      = 3
+	pathLayers      = 6
+	pathPrompt      = 4
+	pathAnswer      = 6
+	pathMaxAttempts = 5
+	pathMaxEvents   = 4000
 )
 
-// message is a step for a stage, or a token for the owner.
+// message is a step sent to a stage, or a token sent to the owner.
 type message struct {
 	toOwner bool
 	stage   int
@@ -34,7 +34,7 @@
 	token   answer.Token
 }
 
-// stage is a stage with its fence and, for each attempt, its engine's caches.
+// stage is one stage of the chain, with its fence and its engine's caches for each attempt.
 type stage struct {
 	session fence.Session
 	caches  map[uint32][]toy.Cache
@@ -43,8 +43,8 @@
 	order   []fence.Step
 }
 
-// path is one request on its way along a chain, over a network that delays,
-// doubles, drops and crosses messages.
+// path is one request along a chain, over a network that delays, duplicates, drops
+// and reorders messages.
 type path struct {
 	rnd      *rand.Rand
 	unfenced bool
@@ -53,7 +53,7 @@
 	network  []message
 	owner    answer.Assembly
 	prompt   []uint32
-	given    []uint32
+	received []uint32
 }
 
 func newPath(seed uint64, unfenced bool) *path {
@@ -70,7 +70,7 @@
 	return p
 }
 
-// dispatch starts the owner's current attempt.
+// dispatch sends the prompt and the tokens so far to the first stage, for the owner's current attempt.
 func (p *path) dispatch() {
 	tokens := append(append([]uint32(nil), p.prompt...), p.owner.Tokens...)
 	xs := make([]uint64, len(tokens))
@@ -81,35 +81,35 @@
 	p.network = append(p.network, message{step: step, xs: xs})
 }
 
-// run moves messages at random until the answer is complete.
+// run draws random events until the answer is complete. It reports false if pathMaxEvents were not enough.
 func (p *path) run() bool {
 	p.dispatch()
-	for range pathMaxMove {
+	for range pathMaxEvents {
 		if p.owner.Complete {
 			p.drain()
 			return true
 		}
-		p.move()
+		p.randomEvent()
 	}
 	return false
 }
 
-// drain delivers what is still on its way: late messages must do no harm.
+// drain delivers the messages still in flight, which must do no harm.
 func (p *path) drain() {
 	for len(p.network) > 0 {
 		p.deliver(p.take())
 	}
 }
 
-// move lets one thing happen.
-func (p *path) move() {
+// randomEvent starts a new attempt, or duplicates, drops or delivers a message.
+func (p *path) randomEvent() {
 	switch n := p.rnd.IntN(20); {
-	case len(p.network) == 0, n == 0 && p.owner.Attempt < pathMaxTry:
+	case len(p.network) == 0, n == 0 && p.owner.Attempt < pathMaxAttempts:
 		p.owner = p.owner.WithAttempt()
 		p.dispatch()
 	case n < 4:
 		p.network = append(p.network, p.network[p.rnd.IntN(len(p.network))])
-	case n == 4 && p.owner.Attempt < pathMaxTry:
+	case n == 4 && p.owner.Attempt < pathMaxAttempts:
 		p.take()
 	default:
 		p.deliver(p.take())
@@ -127,7 +127,7 @@
 	if m.toOwner {
 		next, verdict := p.owner.WithToken(m.token)
 		if verdict == answer.Accepted {
-			p.given = append(p.given, m.token.ID)
+			p.received = append(p.received, m.token.ID)
 		}
 		p.owner = next
 		return
@@ -148,7 +148,7 @@
 	}
 }
 
-// compute runs the stage's layers, as its engine does.
+// compute runs the stage's layers, like its engine.
 func (p *path) compute(i int, m message) []uint64 {
 	s := p.stages[i]
 	s.ran[m.step]++
@@ -167,7 +167,7 @@
 	return out
 }
 
-// forward sends the stage's output on.
+// forward sends the stage's output to the next stage, or the token to the owner and the first stage.
 func (p *path) forward(i int, step fence.Step) {
 	xs := p.stages[i].output
 	if i < pathStages-1 {
@@ -186,11 +186,11 @@
 	}
 }
 
-// violation returns what is wrong with the history, or nothing.
+// violation describes the first violation found in the history, or returns "".
 func (p *path) violation() string {
 	want := p.model.Answer(p.prompt, pathAnswer)
-	if fmt.Sprint(p.given) != fmt.Sprint(want) {
-		return fmt.Sprintf("the caller got %v, the model says %v", p.given, want)
+	if fmt.Sprint(p.received) != fmt.Sprint(want) {
+		return fmt.Sprintf("the caller got tokens %v, the model gives %v", p.received, want)
 	}
 	for i, s := range p.stages {
 		next := make(map[uint32]uint32)
@@ -199,7 +199,7 @@
 				return fmt.Sprintf("stage %d ran %+v %d times", i, step, s.ran[step])
 			}
 			if step.Position != next[step.Attempt] {
-				return fmt.Sprintf("stage %d ran %+v, %d was next", i, step, next[step.Attempt])
+				return fmt.Sprintf("stage %d ran %+v out of order, position %d was next", i, step, next[step.Attempt])
 			}
 			next[step.Attempt] = step.Position + step.Count
 		}
@@ -210,13 +210,13 @@
 func TestEveryLayerOnceInOrder(t *testing.T) {
 	for seed := range uint64(schedules) {
 		p := newPath(seed, false)
-		require.True(t, p.run(), "seed %d: no answer", seed)
+		require.True(t, p.run(), "seed %d: the answer was not completed", seed)
 		require.Empty(t, p.violation(), "seed %d", seed)
 	}
 }
 
-// Without the fence the same schedules show layers that run twice, or answers
-// that are wrong.
+// Guards against a check that cannot fail: without the fence, the same schedules
+// run layers twice or give wrong answers.
 func TestWithoutFenceTheCheckFails(t *testing.T) {
 	violations := 0
 	for seed := range uint64(schedules) {
