--- a/test/soak/caller_test.go
+++ b/test/soak/caller_test.go
@@ -14,34 +14,34 @@
 	"github.com/grademill/grademill/standin/site"
 )
 
-// sent is one request of a caller and what it was told.
-type sent struct {
+// exchange is one request of a caller and the response that the caller received.
+type exchange struct {
 	id, path, key string
 	at, ended     time.Time
 	status        int
 	body          string
-	// whole is set when the answer came to its end.
+	// whole is set when the response body was read to its end.
 	whole  bool
 	events int
 	node   *node
-	// life is that of the gateway's process, stop when it was told to stop.
-	life int
-	stop time.Time
+	// incarnation counts the processes of the gateway, stop is when this one got SIGTERM.
+	incarnation int
+	stop        time.Time
 }
 
-// callers send requests to the gateways that are ready, and keep their connections
-// open as long as they can.
+// callers send requests to the gateways that are ready, and reuse their
+// connections for as long as possible.
 type callers struct {
-	backs *backs
-	nodes []*node
+	backends *backends
+	nodes    []*node
 
-	mu    sync.Mutex // guards what follows
+	mu    sync.Mutex // guards the fields below
 	ready map[*node]bool
-	all   []sent
+	all   []exchange
 }
 
-// poll asks the gateways whether they are ready, until ctx ends. As the balancer
-// does, it takes one out after two questions in a row without an answer.
+// poll checks the readiness of a gateway until ctx ends. Like the load balancer,
+// it takes a gateway out of rotation after two failed checks in a row.
 func (c *callers) poll(ctx context.Context, n *node) {
 	missed := 0
 	for ctx.Err() == nil {
@@ -57,10 +57,10 @@
 	}
 }
 
-// kinds are the paths that callers ask for.
-var kinds = []string{"/renew/", "/freeze/", "/plan/", "/once/", "/plan/"}
+// pathPrefixes are the path prefixes of the routes; /plan/ is chosen twice as often.
+var pathPrefixes = []string{"/renew/", "/freeze/", "/plan/", "/once/", "/plan/"}
 
-// run sends requests one after the other until ctx ends.
+// run sends requests one after another until ctx ends.
 func (c *callers) run(ctx context.Context, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: 12 * time.Second}
@@ -71,21 +71,21 @@
 		ready := c.ready[n]
 		c.mu.Unlock()
 		if ready {
-			one := c.ask(&client, n, r, fmt.Sprintf("c%d-%d", seed, i))
+			ex := c.ask(&client, n, r, fmt.Sprintf("c%d-%d", seed, i))
 			c.mu.Lock()
-			c.all = append(c.all, one)
+			c.all = append(c.all, ex)
 			c.mu.Unlock()
 		}
 		time.Sleep(time.Duration(r.IntN(60)) * time.Millisecond)
 	}
 }
 
-// deadly is the body of a request that ends each endpoint that begins to run it.
-const deadly = "ends who runs it"
+// poisonRequest is the body that crashes each endpoint that starts to run the request.
+const poisonRequest = "ends who runs it"
 
-// repeat sends the deadly request again and again, under another ID and to any gateway, until
-// ctx ends.
-func (c *callers) repeat(ctx context.Context, seed uint64) {
+// sendPoison sends the poison request repeatedly, each time under a new ID and to
+// a random gateway, until ctx ends.
+func (c *callers) sendPoison(ctx context.Context, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 8))
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 12 * time.Second}
 	for i := 0; ctx.Err() == nil; i++ {
@@ -94,52 +94,52 @@
 		ready := c.ready[n]
 		c.mu.Unlock()
 		if ready {
-			one := sent{id: fmt.Sprintf("d%d-%d", seed, i), path: "/plan/again", key: c.backs.key(r), events: 20, node: n}
-			c.send(&client, one, deadly)
+			ex := exchange{id: fmt.Sprintf("d%d-%d", seed, i), path: "/plan/again", key: c.backends.key(r), events: 20, node: n}
+			c.send(&client, ex, poisonRequest)
 		}
 		time.Sleep(time.Duration(100+r.IntN(500)) * time.Millisecond)
 	}
 }
 
-// ask sends one request and reads the answer.
-func (c *callers) ask(client *http.Client, n *node, r *rand.Rand, id string) sent {
-	return c.send(client, sent{
-		id: id, path: kinds[r.IntN(len(kinds))] + id, key: c.backs.key(r), events: 5 + r.IntN(60), node: n,
+// ask sends one random request and reads the response.
+func (c *callers) ask(client *http.Client, n *node, r *rand.Rand, id string) exchange {
+	return c.send(client, exchange{
+		id: id, path: pathPrefixes[r.IntN(len(pathPrefixes))] + id, key: c.backends.key(r), events: 5 + r.IntN(60), node: n,
 	}, id)
 }
 
-// send sends a request with a body and returns it with what it was told.
-func (c *callers) send(client *http.Client, one sent, body string) sent {
-	n, id := one.node, one.id
-	one.life, one.stop = n.state()
-	request, err := http.NewRequest("POST", "http://"+n.caller+one.path, bytes.NewBufferString(body))
+// send sends a request with a body and returns it together with the response.
+func (c *callers) send(client *http.Client, ex exchange, body string) exchange {
+	n, id := ex.node, ex.id
+	ex.incarnation, ex.stop = n.state()
+	request, err := http.NewRequest("POST", "http://"+n.caller+ex.path, bytes.NewBufferString(body))
 	if err != nil {
-		panic(err) // the parts are constants
+		panic(err) // cannot fail: method and host are valid
 	}
 	request.Host = host
-	request.Header.Set("Authorization", "Token "+one.key)
+	request.Header.Set("Authorization", "Token "+ex.key)
 	request.Header.Set("X-Request-Id", id)
 	request.Header.Set("X-Deadline-Ms", "8000")
-	request.Header.Set("X-Token-Usage", fmt.Sprintf("10,%d", one.events))
-	// The client must not send a request twice by itself.
+	request.Header.Set("X-Token-Usage", fmt.Sprintf("10,%d", ex.events))
+	// Without GetBody the client cannot resend a request on its own.
 	request.GetBody = nil
-	one.at = time.Now()
-	defer func() { one.ended = time.Now() }()
+	ex.at = time.Now()
+	defer func() { ex.ended = time.Now() }()
 	answer, err := client.Do(request)
 	if err != nil {
-		return one
+		return ex
 	}
-	defer answer.Body.Close() //nolint:errcheck // read to its end
+	defer answer.Body.Close() //nolint:errcheck // the body has been read
 	text, err := io.ReadAll(answer.Body)
-	one.status, one.body, one.whole, one.ended = answer.StatusCode, string(text), err == nil, time.Now()
+	ex.status, ex.body, ex.whole, ex.ended = answer.StatusCode, string(text), err == nil, time.Now()
 	if answer.StatusCode == http.StatusOK && answer.Header.Get("X-Response-Seal") == "" {
-		one.body = "unsigned: " + one.body
+		ex.body = "unsigned: " + ex.body
 	}
-	return one
+	return ex
 }
 
-// want returns the whole body of the answer to a request.
-func (s sent) want() string {
+// want returns the complete body expected in the response to a request.
+func (s exchange) want() string {
 	if strings.HasPrefix(s.path, "/plan/") || strings.HasPrefix(s.path, "/once/") {
 		var b strings.Builder
 		for n := 1; n <= s.events; n++ {
@@ -150,7 +150,7 @@
 	return site.Echo("POST", s.path, []byte(s.id))
 }
 
-// repeats reports whether a request may run more than once.
-func (s sent) repeats() bool {
+// retryable reports whether a request may run more than once.
+func (s exchange) retryable() bool {
 	return strings.HasPrefix(s.path, "/plan/") || strings.HasPrefix(s.path, "/freeze/")
 }
--- a/test/soak/fleet_test.go
+++ b/test/soak/fleet_test.go
@@ -15,32 +15,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// graceTime is how long after the signal to stop a gateway is killed.
+// graceTime is how long a gateway may take to stop after SIGTERM before it is killed.
 const graceTime = 8 * time.Second
 
-// node is the place of a gateway: its addresses stay, its processes come and go.
+// node is a gateway with fixed addresses, whose process is stopped and replaced during a test.
 type node struct {
 	t        *testing.T
 	name     string
 	settings string
 	caller   string
 	ready    string
-	// store is the link to the store.
+	// store is the proxied link to the store.
 	store *proxy
 
-	mu sync.Mutex // guards what follows
-	// process is the one that runs, nil for none.
+	mu sync.Mutex // guards the fields below
+	// process is the current process, nil before the first start.
 	process *exec.Cmd
-	// life counts the processes.
-	life int
-	// stopped is when the last process got the signal to stop; zero for one that
-	// did not.
+	// incarnation counts the processes started so far.
+	incarnation int
+	// stopped is when the current process got SIGTERM, zero if it has not.
 	stopped time.Time
 	out     *os.File
 	exited  chan struct{}
 }
 
-// binary builds the gateway once.
+// binary builds the gateway once per test run and returns the path of the executable.
 var binary = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "grademill-soak")
 	if err != nil {
@@ -56,13 +55,14 @@
 
 var ports atomic.Int32
 
-// port returns a local address of this test's own: a port that was free a moment
-// ago may be taken by a connection of another process before a gateway listens.
+// port returns a local address reserved for this test. A port found free by the
+// kernel could be taken by a connection of another process before the gateway listens.
 func port() string {
 	return fmt.Sprintf("127.%d.88.1:%d", 1+os.Getpid()%250, 22000+ports.Add(1))
 }
 
-// newNode writes the settings of a gateway of a hall, in a fleet that is flat up to a size.
+// newNode starts a gateway in a hall. Its setting flat_fleet, the fleet size up to which gateways exchange
+// everything with every other one and read the store themselves, is flat.
 func newNode(t *testing.T, dir, name, hall, store string, flat int) *node {
 	link, err := newProxy(store)
 	require.NoError(t, err)
@@ -80,7 +80,7 @@
 	return n
 }
 
-// start starts a process.
+// start starts a new process of the gateway.
 func (n *node) start() {
 	path, err := binary()
 	require.NoError(n.t, err)
@@ -89,35 +89,35 @@
 	n.process = exec.Command(path, "-settings", n.settings)
 	n.process.Stdout, n.process.Stderr = n.out, n.out
 	require.NoError(n.t, n.process.Start())
-	n.life++
+	n.incarnation++
 	n.stopped = time.Time{}
 	exited := make(chan struct{})
 	n.exited = exited
 	process := n.process
 	go func() {
-		_ = process.Wait() // the end is known by the signal that brought it
+		_ = process.Wait() // processes end by a signal of the test
 		close(exited)
 	}()
 }
 
-// signal sends a signal to the process.
+// signal sends a signal to the process and records the time of the first SIGTERM.
 func (n *node) signal(s syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if s == syscall.SIGTERM && n.stopped.IsZero() {
 		n.stopped = time.Now()
 	}
-	_ = n.process.Process.Signal(s) // it may have ended
+	_ = n.process.Process.Signal(s) // the process may have exited already
 }
 
-// kill ends the process at once and starts another.
+// kill kills the process and starts another.
 func (n *node) kill() {
 	n.signal(syscall.SIGKILL)
 	<-n.exited
 	n.start()
 }
 
-// stop ends the process as the platform does, and starts another.
+// stop stops the process like the platform, with SIGTERM and then SIGKILL after graceTime, and starts another.
 func (n *node) stop() {
 	n.signal(syscall.SIGTERM)
 	select {
@@ -129,14 +129,14 @@
 	n.start()
 }
 
-// end ends the process for good.
+// end kills the process, even one that is paused, without starting another.
 func (n *node) end() {
 	n.signal(syscall.SIGCONT)
 	n.signal(syscall.SIGKILL)
 	<-n.exited
 }
 
-// isReady asks the gateway whether it is ready, as the balancer does.
+// isReady checks the readiness of the gateway, like the load balancer.
 func (n *node) isReady() bool {
 	client := http.Client{Timeout: time.Second}
 	answer, err := client.Get("http://" + n.ready + "/-/ready")
@@ -147,9 +147,9 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// state returns the life of the process and when it was told to stop.
+// state returns the incarnation of the process and when it got SIGTERM.
 func (n *node) state() (int, time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.life, n.stopped
+	return n.incarnation, n.stopped
 }
--- a/test/soak/proxy_test.go
+++ b/test/soak/proxy_test.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// A proxy's treatment of its connections.
-type treatment int
+// A linkCondition is the fault that a proxy simulates on its connections.
+type linkCondition int
 
 const (
-	// pass carries bytes both ways.
-	pass treatment = iota
-	// slow delays each piece of bytes.
+	// pass forwards bytes both ways.
+	pass linkCondition = iota
+	// slow delays each chunk of bytes.
 	slow
-	// mute carries nothing either way, and says nothing.
-	mute
-	// deaf carries bytes only from the server to the client.
-	deaf
-	// reset resets connections, open and new ones.
+	// silent forwards nothing either way but keeps connections open.
+	silent
+	// repliesOnly forwards bytes only from the server to the client.
+	repliesOnly
+	// reset resets open and new connections.
 	reset
 )
 
-// slowBy is how much a slow proxy delays each piece.
-const slowBy = 60 * time.Millisecond
+// slowDelay is how long a slow proxy delays each chunk.
+const slowDelay = 60 * time.Millisecond
 
-// proxy is a loopback link to one server.
+// proxy is a loopback TCP proxy in front of one server, with simulated faults.
 type proxy struct {
 	address  string
 	target   string
 	listener net.Listener
 
-	mu      sync.Mutex // guards what follows
-	how     treatment
-	changed chan struct{}
-	conns   map[net.Conn]bool
+	mu        sync.Mutex // guards the fields below
+	condition linkCondition
+	changed   chan struct{}
+	conns     map[net.Conn]bool
 }
 
-// newProxy starts a proxy before a server.
+// newProxy starts a proxy in front of a server.
 func newProxy(target string) (*proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,45 +54,45 @@
 			if err != nil {
 				return
 			}
-			go p.carry(c)
+			go p.forward(c)
 		}
 	}()
 	return p, nil
 }
 
-// refuse has the link refuse new connections from now on, as a host does whose process has ended.
+// refuse makes the link refuse new connections from now on, like a host after its process has exited.
 func (p *proxy) refuse() {
-	_ = p.listener.Close() // those that are open break with the server
+	_ = p.listener.Close() // open connections end with the server
 }
 
-// treat changes the treatment of all connections.
-func (p *proxy) treat(how treatment) {
+// setCondition changes the condition of all connections, open and new ones.
+func (p *proxy) setCondition(condition linkCondition) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.how = how
+	p.condition = condition
 	close(p.changed)
 	p.changed = make(chan struct{})
-	if how != reset {
+	if condition != reset {
 		return
 	}
 	for c := range p.conns {
-		breakOff(c)
+		resetConn(c)
 	}
 }
 
-// breakOff resets a connection.
-func breakOff(c net.Conn) {
+// resetConn closes a connection with a TCP reset.
+func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// carry carries one connection.
-func (p *proxy) carry(client net.Conn) {
-	defer client.Close() //nolint:errcheck // a proxy's connection
+// forward forwards one connection until either side closes it.
+func (p *proxy) forward(client net.Conn) {
+	defer client.Close() //nolint:errcheck // closed by either side
 	p.mu.Lock()
-	how := p.how
+	condition := p.condition
 	p.conns[client] = true
 	p.mu.Unlock()
 	defer func() {
@@ -100,49 +100,49 @@
 		delete(p.conns, client)
 		p.mu.Unlock()
 	}()
-	if how == reset {
-		breakOff(client)
+	if condition == reset {
+		resetConn(client)
 		return
 	}
 	server, err := net.Dial("tcp", p.target)
 	if err != nil {
-		breakOff(client)
+		resetConn(client)
 		return
 	}
-	defer server.Close() //nolint:errcheck // a proxy's connection
+	defer server.Close() //nolint:errcheck // closed by either side
 	done := make(chan struct{}, 2)
-	go func() { p.pump(server, client, deaf); done <- struct{}{} }()
+	go func() { p.pump(server, client, repliesOnly); done <- struct{}{} }()
 	go func() { p.pump(client, server, pass); done <- struct{}{} }()
 	<-done
 }
 
-// pump copies bytes one way, and holds them back while the treatment is mute or
-// blocked.
-func (p *proxy) pump(to, from net.Conn, blocked treatment) {
+// pump copies bytes one way and holds them back while the condition is silent or
+// equals blocked.
+func (p *proxy) pump(to, from net.Conn, blocked linkCondition) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
 		p.await(blocked)
 		if _, werr := to.Write(buffer[:n]); werr != nil || err != nil {
 			if err != nil && err != io.EOF {
-				breakOff(to)
+				resetConn(to)
 			}
 			return
 		}
 	}
 }
 
-// await waits until bytes may go on.
-func (p *proxy) await(blocked treatment) {
+// await waits until the condition lets bytes pass.
+func (p *proxy) await(blocked linkCondition) {
 	for {
 		p.mu.Lock()
-		how, changed := p.how, p.changed
+		condition, changed := p.condition, p.changed
 		p.mu.Unlock()
 		switch {
-		case how == mute || blocked != pass && how == blocked:
+		case condition == silent || blocked != pass && condition == blocked:
 			<-changed
-		case how == slow:
-			time.Sleep(slowBy)
+		case condition == slow:
+			time.Sleep(slowDelay)
 			return
 		default:
 			return
--- a/test/soak/site_test.go
+++ b/test/soak/site_test.go
@@ -12,7 +12,7 @@
 	"github.com/grademill/grademill/standin/site"
 )
 
-// The names of the configuration.
+// Names and sizes used in the configuration.
 const (
 	host    = "club.example"
 	records = "records"
@@ -20,36 +20,36 @@
 	layers  = 8
 )
 
-// backs are the stand-ins behind the gateways, each behind a link.
-type backs struct {
+// backends are the simulated store and endpoints behind the gateways, each endpoint behind a proxied link.
+type backends struct {
 	t    *testing.T
 	site *site.Site
-	// slots is the number of requests that a card takes at once, 0 for the usual.
+	// slots is the number of requests that an engine runs at once, 0 for the default.
 	slots int
 
-	mu sync.Mutex // guards what follows
-	// all are the endpoints that ever were, live those that were not ended, with
-	// their links.
+	mu sync.Mutex // guards the fields below
+	// all holds every endpoint ever started; live holds those in service, with their
+	// links.
 	all  []*site.Endpoint
 	live map[*site.Endpoint]*proxy
-	// left are the times at which endpoints said that they leave.
+	// left holds the times at which endpoints announced their departure or lost their record.
 	left map[*site.Endpoint]time.Time
-	// endings are the times at which endpoints ended under a request.
-	endings []time.Time
-	// keys are in force; revoked are the times at which the others were not.
+	// crashes holds the times at which the poison request crashed endpoints.
+	crashes []time.Time
+	// keys are the valid keys; revoked maps the other keys to the times of their revocation.
 	keys    map[string]bool
 	revoked map[string]time.Time
 	version int
 	started int
 }
 
-// newBacks starts a store, three plain endpoints and eight cards in two halls, each of
-// which takes so many requests at once, 0 for the usual number.
-func newBacks(t *testing.T, slots int) *backs {
+// newBackends starts a store, three plain endpoints and eight engines in two halls.
+// Each engine runs up to slots requests at once, 0 for the default.
+func newBackends(t *testing.T, slots int) *backends {
 	s, err := site.New(layers)
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
-	b := &backs{
+	b := &backends{
 		t: t, site: s, slots: slots, live: make(map[*site.Endpoint]*proxy), left: make(map[*site.Endpoint]time.Time),
 		keys: map[string]bool{"k0": true, "k1": true, "k2": true}, revoked: make(map[string]time.Time),
 	}
@@ -66,8 +66,8 @@
 	return b
 }
 
-// add starts an endpoint behind a link.
-func (b *backs) add(service, hall string) {
+// add starts a new endpoint behind a link.
+func (b *backends) add(service, hall string) {
 	b.mu.Lock()
 	b.started++
 	e := &site.Endpoint{ID: fmt.Sprintf("e%d", b.started), Born: 1, Service: service, Hall: hall, EventEvery: 15 * time.Millisecond}
@@ -78,8 +78,8 @@
 	b.enter(e)
 }
 
-// enter announces an endpoint behind a link.
-func (b *backs) enter(e *site.Endpoint) {
+// enter opens an endpoint, puts a link in front of it and announces it.
+func (b *backends) enter(e *site.Endpoint) {
 	require.NoError(b.t, b.site.Open(e))
 	link, err := newProxy(e.Address())
 	require.NoError(b.t, err)
@@ -91,8 +91,8 @@
 	b.live[e] = link
 }
 
-// pick returns a live endpoint of a service, nil when only one is left.
-func (b *backs) pick(r *rand.Rand, service string) (*site.Endpoint, *proxy) {
+// pick returns a random live endpoint of a service and its link, or nil when fewer than two are live.
+func (b *backends) pick(r *rand.Rand, service string) (*site.Endpoint, *proxy) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []*site.Endpoint
@@ -108,9 +108,9 @@
 	return e, b.live[e]
 }
 
-// crash ends an endpoint without a word; its record lapses later, and another
-// takes its place.
-func (b *backs) crash(e *site.Endpoint) {
+// crash kills an endpoint without notice; its record expires later, and a new
+// endpoint replaces it.
+func (b *backends) crash(e *site.Endpoint) {
 	e.Kill()
 	b.mu.Lock()
 	delete(b.live, e)
@@ -120,39 +120,40 @@
 	b.add(e.Service, e.Hall)
 }
 
-// doomed is the time after which an endpoint that a request has ended is back.
-const doomed = time.Second
+// restartDelay is how long an endpoint crashed by the poison request stays down.
+const restartDelay = time.Second
 
-// doom has a request with a body end each endpoint that begins to run it: it comes back under
-// its ID, and knows nothing.
-func (b *backs) doom(body string) {
+// crashOnBody makes a request with this body crash each endpoint that starts to run it. The
+// endpoint restarts with the same ID and without state.
+func (b *backends) crashOnBody(body string) {
 	b.site.Ending = func(e *site.Endpoint) {
 		b.mu.Lock()
 		link := b.live[e]
 		delete(b.live, e)
-		b.endings = append(b.endings, time.Now())
+		b.crashes = append(b.crashes, time.Now())
 		b.mu.Unlock()
-		if link != nil { // else it was taken away
+		if link != nil { // nil if the endpoint was removed before
 			link.refuse()
-			time.AfterFunc(doomed, func() { b.enter(e.Next()) })
+			time.AfterFunc(restartDelay, func() { b.enter(e.Next()) })
 		}
 	}
 	b.site.Doom(body)
 }
 
-// lateRecord is by how much a record that an endpoint wrote before it said that it leaves may come after it.
+// lateRecord is the largest delay of a record that was written before the departure and arrives after it.
 const lateRecord = 4 * time.Second
 
-// release replaces an endpoint: the new one comes first, the old one leaves. It goes on serving. One that
-// says that it leaves has written a record before that comes late.
-func (b *backs) release(e *site.Endpoint, says bool, late time.Duration) {
+// release starts a replacement and then announces the departure of an endpoint, which goes on serving. With
+// announced, the endpoint itself reports its departure, and an older record of it arrives late, after that
+// report. Without, its record is withdrawn.
+func (b *backends) release(e *site.Endpoint, announced bool, late time.Duration) {
 	b.add(e.Service, e.Hall)
 	time.Sleep(700 * time.Millisecond)
 	b.mu.Lock()
 	delete(b.live, e)
 	b.left[e] = time.Now()
 	b.mu.Unlock()
-	if says {
+	if announced {
 		e.Say(site.Says{Leaving: true})
 		b.site.Leave(e)
 		time.AfterFunc(late, func() { b.site.Announce(e) })
@@ -161,12 +162,12 @@
 	}
 }
 
-// revoke takes a key away, but never the last one, and gives another.
-func (b *backs) revoke() {
+// revoke revokes one key and adds a new one, so that a valid key always remains.
+func (b *backends) revoke() {
 	b.mu.Lock()
 	for key := range b.keys {
 		delete(b.keys, key)
-		b.revoked[key] = time.Now().Add(time.Second) // until it is written below
+		b.revoked[key] = time.Now().Add(time.Second) // placeholder until configure has written it
 		break
 	}
 	b.keys[fmt.Sprintf("k%d", 100+b.version)] = true
@@ -174,8 +175,8 @@
 	b.configure()
 }
 
-// key returns any key that was ever in force.
-func (b *backs) key(r *rand.Rand) string {
+// key returns a random valid key, or now and then one that may be revoked.
+func (b *backends) key(r *rand.Rand) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []string
@@ -190,8 +191,8 @@
 	return list[r.IntN(len(list))]
 }
 
-// configure writes the next version of the configuration.
-func (b *backs) configure() {
+// configure writes the next version of the configuration and records when revoked keys became invalid.
+func (b *backends) configure() {
 	b.mu.Lock()
 	b.version += 2
 	var keys []string
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,11 +1,11 @@
-// Package soak_test runs the gateway as processes of their own on one machine,
-// breaks what is around them from outside, and checks the promises by what callers
-// were told and what endpoints ran.
+// Package soak_test runs gateway processes on one machine, injects faults into them
+// and their surroundings, and checks the guarantees against the responses that callers
+// received and the requests that endpoints ran.
 //
-//	go test ./test/soak -soak.seeds 50 -soak.from 1000 -soak.seconds 20 -timeout 1h
+// 	go test ./test/soak -soak.seeds 50 -soak.from 1000 -soak.seconds 20 -timeout 1h
 //
-// Failed seeds stay in testdata/seeds.txt, with their cause, and are played each
-// time.
+// Seeds that failed are kept in testdata/seeds.txt, with their cause, and replayed
+// in every run.
 package soak_test
 
 import (
@@ -35,31 +35,31 @@
 	keep    = flag.String("soak.keep", "", "folder for the logs of failed seeds")
 )
 
-// The size of a soak.
+// Sizes of a soak test.
 const (
 	gateways    = 3
 	callerCount = 12
-	// flatFleet and its gateways make the fleet of every other seed like a large one: two
-	// of a hall ask the store for a third, and halls tell each other the sums.
+	// flatFleet and gatewaysByHall make the fleet of every odd seed behave like a large
+	// one: two gateways of a hall read the store for a third, and halls exchange sums.
 	flatFleet      = 2
 	gatewaysByHall = 4
 	otherHall      = "south"
 )
 
-// startWait is how long the gateways and the layers may take to be ready.
+// startWait is how long the gateways and the model layers may take to become ready.
 const startWait = time.Minute
 
 func TestSoak(t *testing.T) {
 	for i := range uint64(*seeds) {
-		t.Run(fmt.Sprint("seed ", *from+i), func(t *testing.T) { soak(t, *from+i, load{words: true}) })
+		t.Run(fmt.Sprint("seed ", *from+i), func(t *testing.T) { soak(t, *from+i, load{overloadReports: true}) })
 	}
 }
 
-// Seeds that once failed.
+// TestFormerFailures replays the seeds that have failed before.
 func TestFormerFailures(t *testing.T) {
 	file, err := os.Open("testdata/seeds.txt")
 	require.NoError(t, err)
-	defer file.Close() //nolint:errcheck // only read
+	defer file.Close() //nolint:errcheck // opened for reading
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		text, _, _ := strings.Cut(lines.Text(), "#")
 		if text = strings.TrimSpace(text); text == "" {
@@ -71,69 +71,69 @@
 	}
 }
 
-// world is one soak.
+// world is the state of one soak test.
 type world struct {
-	t     *testing.T
-	backs *backs
-	nodes []*node
-	r     *rand.Rand
-	// unplanned is set once a fault other than planned work has been injected.
+	t        *testing.T
+	backends *backends
+	nodes    []*node
+	r        *rand.Rand
+	// unplanned holds the times of injected faults other than planned operations.
 	unplanned []time.Time
-	// speeches are what endpoints said of the requests that they take.
-	speeches []speech
+	// overloadReports are the limits and backoff periods that endpoints asked for.
+	overloadReports []overloadReport
 
-	mu sync.Mutex // guards what follows
-	// harms are when gateways, or their ways to the store, were harmed.
-	harms map[*node][]span
-	// linkFaults are the times at which links of endpoints, or what they answer, were harmed.
+	mu sync.Mutex // guards the fields below
+	// gatewayFaults are the periods in which gateways, or their links to the store, were faulty.
+	gatewayFaults map[*node][]span
+	// linkFaults are the times at which the links or the responses of endpoints became faulty.
 	linkFaults map[*site.Endpoint][]time.Time
 }
 
-// span is the time of a fault.
+// span is the period of a fault.
 type span struct{ from, until time.Time }
 
-// harmed returns a fault that keeps a gateway from hearing of changes while it lasts.
-func (w *world) harmed(n *node, fault func()) func() {
+// recordFault wraps a fault that may keep a gateway from receiving updates, and records its period.
+func (w *world) recordFault(n *node, fault func()) func() {
 	return func() {
 		s := span{from: time.Now()}
 		fault()
 		s.until = time.Now()
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.harms[n] = append(w.harms[n], s)
+		w.gatewayFaults[n] = append(w.gatewayFaults[n], s)
 	}
 }
 
-// load is what callers ask of the endpoints.
+// load describes the requests of the callers and the reactions of the endpoints.
 type load struct {
-	// slots is the number of requests that an endpoint takes at once, 0 for the usual.
+	// slots is the number of requests that an engine runs at once, 0 for the default.
 	slots int
-	// burst is the number of callers that come beside the others for a while.
+	// burst is the number of additional callers during the first half of the faults.
 	burst int
-	// deadly is set when a request comes again and again that ends who begins to run it.
-	deadly bool
-	// words is set when endpoints say how much they take.
-	words bool
+	// poisonRequest is set to send the poison request repeatedly.
+	poisonRequest bool
+	// overloadReports is set to make endpoints ask for limits and backoff periods.
+	overloadReports bool
 }
 
-// pastCapacity is a load that the slots of the endpoints do not let in.
-var pastCapacity = load{slots: 3, burst: 60, words: true}
+// pastCapacity is a load larger than the slots of the endpoints can hold.
+var pastCapacity = load{slots: 3, burst: 60, overloadReports: true}
 
-// TestSoakPastCapacity plays a fresh seed with more callers than there is room for: what is
-// refused has not run, also then.
+// TestSoakPastCapacity runs a seed with more requests than the endpoints have slots for:
+// even under overload, a refused request must not have run.
 func TestSoakPastCapacity(t *testing.T) {
 	soak(t, *from, pastCapacity)
 }
 
-// TestSoakWithADeadlyRequest plays a fresh seed with a request that ends each endpoint that
-// begins to run it, and comes again and again.
-func TestSoakWithADeadlyRequest(t *testing.T) {
+// TestSoakWithPoisonRequest runs seeds with a request, sent repeatedly, that crashes each
+// endpoint that starts to run it.
+func TestSoakWithPoisonRequest(t *testing.T) {
 	for i := range uint64(*seeds) {
-		t.Run(fmt.Sprint("seed ", *from+i), func(t *testing.T) { soak(t, *from+i, load{deadly: true}) })
+		t.Run(fmt.Sprint("seed ", *from+i), func(t *testing.T) { soak(t, *from+i, load{poisonRequest: true}) })
 	}
 }
 
-// soak plays one seed.
+// soak runs one seed.
 func soak(t *testing.T, seed uint64, l load) {
 	dir := t.TempDir()
 	t.Cleanup(func() {
@@ -142,8 +142,8 @@
 		}
 	})
 	w := &world{
-		t: t, backs: newBacks(t, l.slots), r: rand.New(rand.NewPCG(seed, 1)), linkFaults: make(map[*site.Endpoint][]time.Time),
-		harms: make(map[*node][]span),
+		t: t, backends: newBackends(t, l.slots), r: rand.New(rand.NewPCG(seed, 1)), linkFaults: make(map[*site.Endpoint][]time.Time),
+		gatewayFaults: make(map[*node][]span),
 	}
 	n, flat := gateways, 0
 	if seed%2 == 1 {
@@ -154,9 +154,9 @@
 		if i == gateways {
 			hall = otherHall
 		}
-		w.nodes = append(w.nodes, newNode(t, dir, fmt.Sprint("gateway-", i), hall, w.backs.site.StoreAddress, flat))
+		w.nodes = append(w.nodes, newNode(t, dir, fmt.Sprint("gateway-", i), hall, w.backends.site.StoreAddress, flat))
 	}
-	c := &callers{backs: w.backs, nodes: w.nodes, ready: make(map[*node]bool)}
+	c := &callers{backends: w.backends, nodes: w.nodes, ready: make(map[*node]bool)}
 	ctx, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	for _, n := range w.nodes {
@@ -166,9 +166,9 @@
 	for i := range callerCount {
 		group.Go(func() { c.run(ctx, seed*1000+uint64(i)) })
 	}
-	if l.deadly {
-		w.backs.doom(deadly)
-		group.Go(func() { c.repeat(ctx, seed) })
+	if l.poisonRequest {
+		w.backends.crashOnBody(poisonRequest)
+		group.Go(func() { c.sendPoison(ctx, seed) })
 	}
 	faults := time.Duration(*seconds) * time.Second
 	burst, over := context.WithTimeout(ctx, faults/2)
@@ -176,21 +176,21 @@
 	for i := range l.burst {
 		group.Go(func() { c.run(burst, seed*1000+uint64(callerCount+i)) })
 	}
-	var speakers sync.WaitGroup
-	if l.words {
-		speakers.Go(func() { w.speak(seed, faults) })
+	var reporters sync.WaitGroup
+	if l.overloadReports {
+		reporters.Go(func() { w.reportOverload(seed, faults) })
 	}
 	w.inject(faults)
-	speakers.Wait()
-	time.Sleep(4 * time.Second) // all is mended: requests are served again
-	mended := time.Now()
+	reporters.Wait()
+	time.Sleep(4 * time.Second) // all faults have ended; time to recover
+	recovered := time.Now()
 	time.Sleep(2 * time.Second)
 	cancel()
 	group.Wait()
-	w.check(c, mended)
+	w.check(c, recovered)
 }
 
-// serves reports whether all gateways are ready and the layers are held.
+// serves reports whether all gateways are ready and the engines hold each layer twice on average.
 func (w *world) serves() bool {
 	for _, n := range w.nodes {
 		if !n.isReady() {
@@ -198,14 +198,14 @@
 		}
 	}
 	held := 0
-	for _, e := range w.backs.all {
+	for _, e := range w.backends.all {
 		from, to := e.Layers()
 		held += to - from
 	}
 	return held >= 2*layers
 }
 
-// inject breaks things for a time, several at once, and waits until all is mended.
+// inject injects random faults for a duration, several at once, and waits until all have ended.
 func (w *world) inject(d time.Duration) {
 	var group sync.WaitGroup
 	busy := make(map[*node]chan struct{})
@@ -217,7 +217,7 @@
 		lasts := time.Duration(300+w.r.IntN(1500)) * time.Millisecond
 		fault := w.fault(n, lasts)
 		group.Go(func() {
-			busy[n] <- struct{}{} // one fault of a gateway at a time
+			busy[n] <- struct{}{} // one fault at a time per gateway
 			defer func() { <-busy[n] }()
 			fault()
 		})
@@ -226,18 +226,18 @@
 	group.Wait()
 }
 
-// fault draws a fault.
+// fault returns a random fault of the gateway, the store or an endpoint; faults that end by themselves last as long as given.
 func (w *world) fault(n *node, lasts time.Duration) func() {
-	during := func(p *proxy, how treatment) func() {
+	during := func(p *proxy, condition linkCondition) func() {
 		return func() {
-			p.treat(how)
+			p.setCondition(condition)
 			time.Sleep(lasts)
-			p.treat(pass)
+			p.setCondition(pass)
 		}
 	}
-	store := func(how treatment) func() { return w.harmed(n, during(n.store, how)) }
+	store := func(condition linkCondition) func() { return w.recordFault(n, during(n.store, condition)) }
 	service := []string{records, model}[w.r.IntN(2)]
-	e, link := w.backs.pick(w.r, service)
+	e, link := w.backends.pick(w.r, service)
 	kind := w.r.IntN(16)
 	if kind > 3 {
 		w.unplanned = append(w.unplanned, time.Now())
@@ -247,27 +247,27 @@
 	case 0, 1:
 		return n.stop
 	case 2:
-		return func() { w.backs.revoke() }
+		return func() { w.backends.revoke() }
 	case 3:
 		return func() { n.signal(syscall.SIGHUP) }
 	case 4:
-		return w.harmed(n, n.kill)
+		return w.recordFault(n, n.kill)
 	case 5:
-		return w.harmed(n, func() {
+		return w.recordFault(n, func() {
 			n.signal(syscall.SIGSTOP)
 			time.Sleep(lasts)
 			n.signal(syscall.SIGCONT)
 		})
 	case 6:
-		return store(mute)
+		return store(silent)
 	case 7:
 		return store(reset)
 	case 8:
 		return store(slow)
 	case 9:
-		return store(deaf)
+		return store(repliesOnly)
 	case 10:
-		return w.backs.site.Store.Compact
+		return w.backends.site.Store.Compact
 	}
 	if e == nil {
 		return func() {}
@@ -279,13 +279,13 @@
 	}
 	switch kind {
 	case 11:
-		return func() { w.backs.crash(e) }
+		return func() { w.backends.crash(e) }
 	case 12:
-		says := w.r.IntN(2) == 0
+		announces := w.r.IntN(2) == 0
 		late := time.Duration(w.r.IntN(int(lateRecord)))
-		return func() { w.backs.release(e, says, late) }
+		return func() { w.backends.release(e, announces, late) }
 	case 13:
-		return during(link, []treatment{slow, mute, reset, deaf}[w.r.IntN(4)])
+		return during(link, []linkCondition{slow, silent, reset, repliesOnly}[w.r.IntN(4)])
 	}
 	mode := []site.Mode{site.Refuse, site.Fail, site.Lose, site.Cut, site.Unsigned, site.Twice, site.FailAsRefusal}[w.r.IntN(7)]
 	return func() {
--- a/test/soak/words_test.go
+++ b/test/soak/words_test.go
@@ -10,153 +10,153 @@
 	"github.com/grademill/grademill/standin/site"
 )
 
-// wordHeard is how long a gateway may take to heed a word that it has passed on.
-const wordHeard = 500 * time.Millisecond
+// reportDelay is how long a gateway may take to act on an endpoint's report after passing on the response with it.
+const reportDelay = 500 * time.Millisecond
 
-// speech is what an endpoint said for a while.
-type speech struct {
+// overloadReport is a limit or backoff period that an endpoint asked for during a period.
+type overloadReport struct {
 	endpoint    *site.Endpoint
-	says        site.Says
+	signals     site.Says
 	from, until time.Time
 }
 
-// process is one life of a gateway.
+// process is one incarnation of a gateway.
 type process struct {
-	node *node
-	life int
+	node        *node
+	incarnation int
 }
 
-// speak has endpoints ask for what they can bear, one after the other, for a time.
-func (w *world) speak(seed uint64, d time.Duration) {
+// reportOverload makes one random endpoint after another ask for a limit or a backoff period, for a duration.
+func (w *world) reportOverload(seed uint64, d time.Duration) {
 	r := rand.New(rand.NewPCG(seed, 9))
 	for end := time.Now().Add(d); time.Now().Before(end); {
-		e, _ := w.backs.pick(r, []string{records, model}[r.IntN(2)])
+		e, _ := w.backends.pick(r, []string{records, model}[r.IntN(2)])
 		if e == nil {
 			return
 		}
-		s := speech{endpoint: e, from: time.Now()}
+		s := overloadReport{endpoint: e, from: time.Now()}
 		lasts := time.Duration(2+r.IntN(3)) * time.Second
 		switch r.IntN(3) {
 		case 0:
-			s.says.Rest = time.Duration(1000+r.IntN(2000)) * time.Millisecond
+			s.signals.Rest = time.Duration(1000+r.IntN(2000)) * time.Millisecond
 		case 1:
-			s.says.Limit, s.says.Above = 1+5*r.Float64(), 2
+			s.signals.Limit, s.signals.Above = 1+5*r.Float64(), 2
 		default:
-			s.says.Limit = 0.2 + 5*r.Float64()
+			s.signals.Limit = 0.2 + 5*r.Float64()
 			lasts = site.LimitHeard + site.LimitSpan
 		}
-		w.t.Logf("%s: %s says %+v for %s", s.from.Format("15:04:05.000"), e.ID, s.says, lasts)
-		e.Say(s.says)
+		w.t.Logf("%s: %s reports %+v for %s", s.from.Format("15:04:05.000"), e.ID, s.signals, lasts)
+		e.Say(s.signals)
 		time.Sleep(lasts)
 		e.Say(site.Says{})
 		s.until = time.Now()
-		w.speeches = append(w.speeches, s)
+		w.overloadReports = append(w.overloadReports, s)
 	}
 }
 
-// checkWords checks that endpoints got what they had asked for.
-func (w *world) checkWords(c *callers) {
-	byID := make(map[string]sent, len(c.all))
+// checkOverloadReports checks that gateways kept to the limits, backoff periods and departures that endpoints reported.
+func (w *world) checkOverloadReports(c *callers) {
+	byID := make(map[string]exchange, len(c.all))
 	for _, s := range c.all {
 		byID[s.id] = s
 	}
-	for _, s := range w.speeches {
-		if w.linkHarmed(s) {
+	for _, s := range w.overloadReports {
+		if w.linkWasFaulty(s) {
 			continue
 		}
-		if s.says.Rest > 0 {
-			w.checkRest(s, byID)
-		} else if s.says.Above == 0 {
+		if s.signals.Rest > 0 {
+			w.checkBackoff(s, byID)
+		} else if s.signals.Above == 0 {
 			w.checkLimit(s, byID)
 		}
 	}
-	for e, left := range w.backs.left {
-		if e.Saying().Leaving { // else only its record has gone
-			w.checkLeavingWord(e, left, byID)
+	for e, left := range w.backends.left {
+		if e.Saying().Leaving { // otherwise only its record was withdrawn
+			w.checkLeavingReport(e, left, byID)
 		}
 	}
 }
 
-// linkHarmed reports whether the link of an endpoint was harmed around what it said.
-func (w *world) linkHarmed(s speech) bool {
+// linkWasFaulty reports whether the link of an endpoint was faulty shortly before or during a report.
+func (w *world) linkWasFaulty(s overloadReport) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, at := range w.linkFaults[s.endpoint] {
-		if at.After(s.from.Add(-touch)) && at.Before(s.until) {
+		if at.After(s.from.Add(-reconnectBound)) && at.Before(s.until) {
 			return true
 		}
 	}
 	return false
 }
 
-// arrival is a request as an endpoint got it.
+// arrival is a request received by an endpoint.
 type arrival struct {
-	sent
+	exchange
 	from    process
 	arrived time.Time
 }
 
-// arrivals returns the requests of callers that an endpoint got within a time, in order.
-func arrivals(e *site.Endpoint, from, until time.Time, byID map[string]sent) []arrival {
+// arrivals returns the callers' requests that an endpoint received between from and until, in order.
+func arrivals(e *site.Endpoint, from, until time.Time, byID map[string]exchange) []arrival {
 	var list []arrival
 	times := e.Arrived()
 	for i, r := range e.Seen()[:len(times)] {
-		one, ok := byID[r.Header.Get("X-Request-Id")]
+		ex, ok := byID[r.Header.Get("X-Request-Id")]
 		if ok && !times[i].Before(from) && !times[i].After(until) {
-			list = append(list, arrival{one, process{one.node, one.life}, times[i]})
+			list = append(list, arrival{ex, process{ex.node, ex.incarnation}, times[i]})
 		}
 	}
 	return list
 }
 
-// passedOn reports whether the caller has got a whole answer to the request.
-func (s sent) passedOn() bool {
+// passedOn reports whether the caller received a complete successful response.
+func (s exchange) passedOn() bool {
 	return s.status == http.StatusOK && s.whole
 }
 
-// checkLimit checks what an endpoint got, once a limit had to be heard of, from gateways that had passed
-// on one of its answers.
-func (w *world) checkLimit(s speech, byID map[string]sent) {
-	told := make(map[process]time.Time)
+// checkLimit checks that an endpoint got no more requests than its limit allows, from gateways that had
+// passed on a response with the limit and once the limit had to take effect.
+func (w *world) checkLimit(s overloadReport, byID map[string]exchange) {
+	reported := make(map[process]time.Time)
 	var counted []time.Time
 	for _, a := range arrivals(s.endpoint, s.from, s.until, byID) {
-		known := told[a.from]
-		if !known.IsZero() && a.arrived.After(known.Add(wordHeard)) && a.arrived.After(s.from.Add(site.LimitHeard)) {
+		known := reported[a.from]
+		if !known.IsZero() && a.arrived.After(known.Add(reportDelay)) && a.arrived.After(s.from.Add(site.LimitHeard)) {
 			counted = append(counted, a.arrived)
 		}
 		if known.IsZero() && a.passedOn() {
-			told[a.from] = a.ended
+			reported[a.from] = a.ended
 		}
 	}
 	most := site.MostWithin(counted, site.LimitSpan)
-	assert.LessOrEqual(w.t, most, site.Allowed(s.says.Limit), "%s named %.2f a second", s.endpoint.ID, s.says.Limit)
-	w.t.Logf("%s named %.2f a second and got %d, %d in the fullest span", s.endpoint.ID, s.says.Limit, len(counted), most)
+	assert.LessOrEqual(w.t, most, site.Allowed(s.signals.Limit), "%s asked for at most %.2f requests per second", s.endpoint.ID, s.signals.Limit)
+	w.t.Logf("%s asked for at most %.2f requests per second and got %d, at most %d of them within one period", s.endpoint.ID, s.signals.Limit, len(counted), most)
 }
 
-// checkRest checks what an endpoint got within each rest that it asked a gateway for.
-func (w *world) checkRest(s speech, byID map[string]sent) {
+// checkBackoff checks that each gateway sent at most site.RestSlack requests within a backoff period that the endpoint asked it for.
+func (w *world) checkBackoff(s overloadReport, byID map[string]exchange) {
 	arrived := make(map[process][]time.Time)
 	for _, a := range arrivals(s.endpoint, s.from, s.until, byID) {
 		arrived[a.from] = append(arrived[a.from], a.arrived)
 	}
 	for from, times := range arrived {
-		assert.LessOrEqual(w.t, site.MostWithinRest(times, s.says.Rest), site.RestSlack,
-			"%s within a rest that %s asked for", from.node.name, s.endpoint.ID)
+		assert.LessOrEqual(w.t, site.MostWithinRest(times, s.signals.Rest), site.RestSlack,
+			"%s sent too many requests within a backoff period asked for by %s", from.node.name, s.endpoint.ID)
 	}
 }
 
-// checkLeavingWord checks that a gateway that has passed on an answer of an endpoint that said that it
-// leaves sends it nothing later, in touch with the store or not.
-func (w *world) checkLeavingWord(e *site.Endpoint, said time.Time, byID map[string]sent) {
-	told := make(map[process]time.Time)
+// checkLeavingReport checks that a gateway, once it has passed on a response in which an endpoint reported its
+// departure, sends it nothing more, even while it cannot reach the store.
+func (w *world) checkLeavingReport(e *site.Endpoint, said time.Time, byID map[string]exchange) {
+	reported := make(map[process]time.Time)
 	for _, a := range arrivals(e, said, time.Now(), byID) {
 		if a.at.Before(said) {
 			continue
 		}
-		if known := told[a.from]; !known.IsZero() {
-			assert.Less(w.t, a.at.Sub(known), site.LeavingHeard, "%s got %s from %s that had heard that it leaves", e.ID, a.id, a.from.node.name)
+		if known := reported[a.from]; !known.IsZero() {
+			assert.Less(w.t, a.at.Sub(known), site.LeavingHeard, "%s got %s from %s, which knew of its departure", e.ID, a.id, a.from.node.name)
 		} else if a.passedOn() {
-			told[a.from] = a.ended
+			reported[a.from] = a.ended
 		}
 	}
 }
