--- a/test/e2e/config_test.go
+++ b/test/e2e/config_test.go
@@ -15,7 +15,7 @@
 	"github.com/grademill/grademill/standin/platform"
 )
 
-// result is the answer to a change.
+// result is the response to a configuration change.
 type result struct {
 	status   int
 	Outcome  string `json:"outcome"`
@@ -24,7 +24,7 @@
 	body     string
 }
 
-// race lets operators change one policy through all entries, each n times.
+// race makes operators change one policy concurrently through all entries, n times each.
 func (w *world) race(operators, n int, between func(round int)) []result {
 	var mu sync.Mutex
 	var all []result
@@ -49,8 +49,8 @@
 	return all
 }
 
-// watchRevisions notes the revision in force at each process until the returned
-// function is called, which checks that none went back.
+// watchRevisions records the revision in force at each entry until the returned
+// function is called, which checks that no revision went back.
 func (w *world) watchRevisions() (check func(t *testing.T)) {
 	stop := make(chan struct{})
 	var group sync.WaitGroup
@@ -80,8 +80,8 @@
 	}
 }
 
-// checkAccepted checks that every accepted change has a revision of its own, and
-// that the last one is in force at every entry.
+// checkAccepted checks that each accepted change has a revision of its own, and
+// that the last one comes into force at every entry.
 func (w *world) checkAccepted(t *testing.T, results []result) {
 	t.Helper()
 	last := result{}
@@ -93,7 +93,7 @@
 		if r.Outcome != "accepted" {
 			continue
 		}
-		require.False(t, revisions[r.Revision], "revision %d twice", r.Revision)
+		require.False(t, revisions[r.Revision], "two accepted changes have revision %d", r.Revision)
 		revisions[r.Revision] = true
 		if r.Revision > last.Revision {
 			last = r
@@ -107,11 +107,11 @@
 			_ = json.Unmarshal([]byte(a.body), &got)
 			_ = json.Unmarshal([]byte(last.body), &want)
 			return a.status == http.StatusOK && fmt.Sprint(got) == fmt.Sprint(want)
-		}, "%s has the last accepted change in force", e.name)
+		}, "the last accepted change is in force at %s", e.name)
 	}
 }
 
-// settle asks what became of a change whose outcome was not known.
+// settle asks an entry for the outcome of a change whose outcome was unknown.
 func (w *world) settle(r result) result {
 	a := raw(w.t, http.MethodGet, w.entries[0].admin+"/admin/v1/writes/"+r.WriteID, operatorKey, "")
 	settled := result{body: r.body}
@@ -120,7 +120,7 @@
 }
 
 func TestOperatorsRace(t *testing.T) {
-	w := thin(t)
+	w := chainOfThree(t)
 	check := w.watchRevisions()
 	results := w.race(6, 10, nil)
 	w.checkAccepted(t, results)
@@ -131,29 +131,29 @@
 }
 
 func TestOperatorsRaceWithLostAnswersAndOutages(t *testing.T) {
-	w := thin(t)
+	w := chainOfThree(t)
 	check := w.watchRevisions()
 	results := w.race(4, 6, func(round int) {
 		switch round % 3 {
 		case 0:
-			w.fault(platform.Fault{LoseAnswers: true})
+			w.setFault(platform.Fault{LoseAnswers: true})
 		case 1:
-			w.fault(platform.Fault{Down: true})
+			w.setFault(platform.Fault{Down: true})
 			time.Sleep(50 * time.Millisecond)
-			w.fault(platform.Fault{})
+			w.setFault(platform.Fault{})
 		}
 	})
-	w.fault(platform.Fault{})
+	w.setFault(platform.Fault{})
 	w.checkAccepted(t, results)
 	check(t)
 }
 
 func TestWatcherPausedThroughManyRevisions(t *testing.T) {
-	w := thin(t)
+	w := chainOfThree(t)
 	check := w.watchRevisions()
 	w.entries[1].signal(syscall.SIGSTOP)
 	var results []result
-	for i := range 300 { // more than the head of the log holds
+	for i := range 300 { // more changes than the head of the log holds
 		body := fmt.Sprintf(`{"match":"true","order":%d}`, i)
 		status, text := w.tryPut(w.entries[0], "policies", "rush-hour", body)
 		r := result{status: status, body: body}
@@ -166,7 +166,7 @@
 }
 
 func TestOnlyOneConditionalChangeWins(t *testing.T) {
-	w := thin(t)
+	w := chainOfThree(t)
 	w.put(w.entries[0], "policies", "rush-hour", `{"match":"true"}`)
 	a := raw(t, http.MethodGet, w.entries[0].admin+"/admin/v1/policies/rush-hour", operatorKey, "")
 	require.Equal(t, http.StatusOK, a.status)
@@ -198,7 +198,7 @@
 }
 
 func TestBadChangesAreRefused(t *testing.T) {
-	w := thin(t)
+	w := chainOfThree(t)
 	cases := map[string]struct {
 		kind, name, body, detail string
 		status                   int
@@ -221,5 +221,5 @@
 			require.Contains(t, text, `"refused"`)
 		})
 	}
-	require.Equal(t, before, w.status(w.entries[0]).Revisions["entry-1"], "a refused change changes nothing")
+	require.Equal(t, before, w.status(w.entries[0]).Revisions["entry-1"], "a refused change must not create a revision")
 }
--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -18,18 +18,18 @@
 )
 
 func TestStageKilledMidAnswer(t *testing.T) {
-	w := replicas(t)
+	w := replicatedChain(t)
 	l := run(requests, tokens, w.entries...)
-	w.underWay(200)
+	w.awaitSteps(200)
 	w.agents[2].kill()
 	l.whole(t)
 	w.checkOnce(t)
 }
 
 func TestTwoStagesKilledAtOnce(t *testing.T) {
-	w := replicas(t)
+	w := replicatedChain(t)
 	l := run(requests, tokens, w.entries...)
-	w.underWay(200)
+	w.awaitSteps(200)
 	w.agents[0].kill()
 	w.agents[5].kill()
 	l.whole(t)
@@ -37,9 +37,9 @@
 }
 
 func TestStageFrozenThenWoken(t *testing.T) {
-	w := replicas(t)
+	w := replicatedChain(t)
 	l := run(requests, tokens, w.entries...)
-	w.underWay(200)
+	w.awaitSteps(200)
 	w.agents[3].signal(syscall.SIGSTOP)
 	l.whole(t)
 	w.agents[3].signal(syscall.SIGCONT)
@@ -49,9 +49,9 @@
 }
 
 func TestEngineKilledMidAnswer(t *testing.T) {
-	w := replicas(t)
+	w := replicatedChain(t)
 	l := run(requests, tokens, w.entries...)
-	w.underWay(200)
+	w.awaitSteps(200)
 	w.engines[4].kill()
 	l.whole(t)
 	w.engines = append(w.engines[:4:4], w.engines[5])
@@ -59,14 +59,14 @@
 }
 
 func TestEntryKilledMidAnswer(t *testing.T) {
-	w := replicas(t)
+	w := replicatedChain(t)
 	l := run(requests, tokens, w.entries[0])
-	w.underWay(200)
+	w.awaitSteps(200)
 	w.entries[0].kill()
 	l.group.Wait()
 	for i, a := range l.answers {
-		// A cut answer is never taken for a whole one, and what was given of it
-		// belongs to its request.
+		// A response that was cut off must not look complete, and its tokens must be
+		// those of its own request.
 		want := expected(l.prompts[i], tokens)
 		if a.whole {
 			require.Equal(t, want, a.tokens)
@@ -79,25 +79,25 @@
 }
 
 func TestAgentStoppedUnderLoad(t *testing.T) {
-	w := replicas(t)
+	w := replicatedChain(t)
 	l := run(requests, tokens, w.entries...)
-	w.underWay(200)
+	w.awaitSteps(200)
 	w.agents[2].stop()
 	ran := len(w.engineRecord(w.engines[2]))
 	l.whole(t)
 	for _, a := range l.answers {
-		require.Equal(t, 1, a.attempts, "a planned stop cuts off nothing")
+		require.Equal(t, 1, a.attempts, "a planned stop must not interrupt a request")
 	}
 	run(requests, tokens, w.entries...).whole(t)
-	require.Len(t, w.engineRecord(w.engines[2]), ran, "an endpoint that has left gets no work")
+	require.Len(t, w.engineRecord(w.engines[2]), ran, "an endpoint that has left must get no new requests")
 	w.checkOnce(t)
 }
 
 func TestEntryStoppedUnderLoad(t *testing.T) {
-	w := replicas(t)
+	w := replicatedChain(t)
 	l := run(requests, tokens, w.entries[0])
-	w.underWay(200)
-	w.begun(requests)
+	w.awaitSteps(200)
+	w.awaitStarted(requests)
 	w.entries[0].stop()
 	l.whole(t)
 	for _, a := range l.answers {
@@ -107,9 +107,9 @@
 }
 
 func TestEntryAndAgentStoppedTogether(t *testing.T) {
-	w := replicas(t)
+	w := replicatedChain(t)
 	l := run(requests, tokens, w.entries...)
-	w.underWay(200)
+	w.awaitSteps(200)
 	w.agents[1].signal(syscall.SIGTERM)
 	w.entries[1].signal(syscall.SIGTERM)
 	l.whole(t)
@@ -119,9 +119,9 @@
 }
 
 func TestStopDuringChainRebuild(t *testing.T) {
-	w := replicas(t)
+	w := replicatedChain(t)
 	l := run(requests, tokens, w.entries...)
-	w.underWay(200)
+	w.awaitSteps(200)
 	w.agents[2].kill()
 	w.agents[0].signal(syscall.SIGTERM)
 	l.whole(t)
@@ -130,7 +130,7 @@
 }
 
 func TestListedAsLeavingGetsNoNewWork(t *testing.T) {
-	w := replicas(t)
+	w := replicatedChain(t)
 	run(requests, tokens, w.entries...).whole(t)
 	w.list(w.agents[4])
 	for _, e := range w.entries {
@@ -141,7 +141,7 @@
 				}
 			}
 			return false
-		}, "%s sees the endpoint leave", e.name)
+		}, "%s marks the endpoint as leaving", e.name)
 	}
 	ran := len(w.engineRecord(w.engines[4]))
 	run(requests, tokens, w.entries...).whole(t)
@@ -149,32 +149,32 @@
 }
 
 func TestPlatformDownDoesNotStopRequests(t *testing.T) {
-	w := replicas(t)
-	w.fault(platform.Fault{Down: true})
+	w := replicatedChain(t)
+	w.setFault(platform.Fault{Down: true})
 	run(requests, tokens, w.entries...).whole(t)
-	// A process that starts during the outage learns everything from peers.
+	// A process that starts during the outage learns the configuration and the endpoints from peers.
 	w.addEntriesDuringOutage("entry-3")
 	w.ready(w.entries[2], 6)
 	run(requests, tokens, w.entries[2]).whole(t)
-	w.fault(platform.Fault{})
+	w.setFault(platform.Fault{})
 	w.put(w.entries[0], "teams", "late", `{"key_sha256":[]}`)
 	revision := w.status(w.entries[0]).Revisions["entry-1"]
 	for _, e := range w.entries {
-		w.eventually(func() bool { return w.status(e).Revisions[e.name] >= revision }, "%s follows", e.name)
+		w.eventually(func() bool { return w.status(e).Revisions[e.name] >= revision }, "%s reaches the current revision", e.name)
 	}
 }
 
-// renewals sends the same keys through all entries at once, each key until some
-// entry gives an answer that is final.
+// renewals are calls with the same keys sent through several entries at once, one
+// call for each key and entry.
 type renewals struct {
 	group sync.WaitGroup
 	mu    sync.Mutex
-	// ends are the outcomes by key, in the order of their arrival.
-	ends map[string][]string
+	// outcomes are the outcomes of each key in order of arrival.
+	outcomes map[string][]string
 }
 
 func renew(keys int, entries ...*process) *renewals {
-	r := &renewals{ends: make(map[string][]string)}
+	r := &renewals{outcomes: make(map[string][]string)}
 	for i := range keys {
 		key := fmt.Sprintf("renewal-%d", i)
 		for _, e := range entries {
@@ -186,15 +186,15 @@
 				if a.err != nil {
 					outcome = "cut"
 				}
-				r.ends[key] = append(r.ends[key], outcome)
+				r.outcomes[key] = append(r.outcomes[key], outcome)
 			})
 		}
 	}
 	return r
 }
 
-// checkAtMostOnce checks that no key ran twice, and that a key whose callers
-// were all told "not run" did not run.
+// checkAtMostOnce checks that no key ran twice, that a key reported as done ran, and
+// that a key reported as not run to all its callers did not run.
 func (w *world) checkAtMostOnce(t *testing.T, r *renewals) {
 	t.Helper()
 	r.group.Wait()
@@ -205,9 +205,9 @@
 	for key, n := range ran {
 		require.LessOrEqual(t, n, 1, key)
 	}
-	for key, ends := range r.ends {
+	for key, outcomes := range r.outcomes {
 		done, notRun := 0, 0
-		for _, end := range ends {
+		for _, end := range outcomes {
 			switch end {
 			case "done":
 				done++
@@ -216,16 +216,16 @@
 			}
 		}
 		if done > 0 {
-			require.Equal(t, 1, ran[key], "%s: %v", key, ends)
+			require.Equal(t, 1, ran[key], "%s: %v", key, outcomes)
 		}
-		if notRun == len(ends) {
-			require.Zero(t, ran[key], "%s: %v", key, ends)
+		if notRun == len(outcomes) {
+			require.Zero(t, ran[key], "%s: %v", key, outcomes)
 		}
 	}
 }
 
-// shops starts two entries and two endpoints of the plain service.
-func shops(t *testing.T) *world {
+// plainServices starts two entries and two endpoints of the plain service.
+func plainServices(t *testing.T) *world {
 	w := newWorld(t)
 	w.addEntries("entry-1", "entry-2")
 	w.plain("records-1", "rose-hill", "-took", "20ms")
@@ -235,21 +235,21 @@
 	return w
 }
 
-func (w *world) served(n int) {
+func (w *world) awaitCalls(n int) {
 	w.eventually(func() bool { return len(w.serviceRecord()) >= n }, "%d calls have run", n)
 }
 
 func TestSameKeyAtBothEntriesRunsOnce(t *testing.T) {
-	w := shops(t)
+	w := plainServices(t)
 	r := renew(20, w.entries...)
 	w.checkAtMostOnce(t, r)
-	for key, ends := range r.ends {
-		require.Equal(t, []string{"done", "done"}, ends, key)
+	for key, outcomes := range r.outcomes {
+		require.Equal(t, []string{"done", "done"}, outcomes, key)
 	}
 }
 
 func TestSameKeyForAnotherRequestIsRefused(t *testing.T) {
-	w := shops(t)
+	w := plainServices(t)
 	require.Equal(t, http.StatusOK, call(w.entries[0], "k", "one").status)
 	a := call(w.entries[1], "k", "two")
 	require.Equal(t, http.StatusUnprocessableEntity, a.status, a.body)
@@ -257,9 +257,9 @@
 }
 
 func TestEntryKilledWhileRenewing(t *testing.T) {
-	w := shops(t)
+	w := plainServices(t)
 	r := renew(40, w.entries[0])
-	w.served(5)
+	w.awaitCalls(5)
 	w.entries[0].kill()
 	r.group.Wait()
 	again := renew(40, w.entries[1])
@@ -267,9 +267,9 @@
 }
 
 func TestAgentKilledWhileRenewing(t *testing.T) {
-	w := shops(t)
+	w := plainServices(t)
 	r := renew(40, w.entries...)
-	w.served(5)
+	w.awaitCalls(5)
 	w.agents[0].kill()
 	w.checkAtMostOnce(t, r)
 	w.restart(w.agents[0])
@@ -278,9 +278,9 @@
 }
 
 func TestAgentFrozenWhileRenewing(t *testing.T) {
-	w := shops(t)
+	w := plainServices(t)
 	r := renew(40, w.entries...)
-	w.served(5)
+	w.awaitCalls(5)
 	w.agents[1].signal(syscall.SIGSTOP)
 	r.group.Wait()
 	w.agents[1].signal(syscall.SIGCONT)
@@ -289,28 +289,28 @@
 }
 
 func TestLostAnswersWhileRenewing(t *testing.T) {
-	w := shops(t)
-	w.fault(platform.Fault{LoseAnswers: true})
+	w := plainServices(t)
+	w.setFault(platform.Fault{LoseAnswers: true})
 	r := renew(20, w.entries...)
 	w.checkAtMostOnce(t, r)
-	w.fault(platform.Fault{})
+	w.setFault(platform.Fault{})
 	again := renew(20, w.entries...)
 	w.checkAtMostOnce(t, again)
 }
 
 func TestOutageWhileRenewing(t *testing.T) {
-	w := shops(t)
+	w := plainServices(t)
 	r := renew(40, w.entries...)
-	w.served(5)
-	w.fault(platform.Fault{Down: true})
+	w.awaitCalls(5)
+	w.setFault(platform.Fault{Down: true})
 	w.checkAtMostOnce(t, r)
 	a := call(w.entries[0], "during the outage", "x")
 	require.Equal(t, "not_run", a.outcome, a.body)
 	require.Equal(t, http.StatusOK, call(w.entries[0], "", "a call without a key goes on").status)
-	w.fault(platform.Fault{})
+	w.setFault(platform.Fault{})
 	again := renew(40, w.entries...)
 	w.checkAtMostOnce(t, again)
-	for key, ends := range again.ends {
-		require.Equal(t, []string{"done", "done"}, ends, key)
+	for key, outcomes := range again.outcomes {
+		require.Equal(t, []string{"done", "done"}, outcomes, key)
 	}
 }
--- a/test/e2e/load_test.go
+++ b/test/e2e/load_test.go
@@ -11,9 +11,9 @@
 	"github.com/grademill/grademill/standin/engine"
 )
 
-// replicas starts two entries and two engines for each third of the model.
-// Their steps are slow enough for faults to come in the middle of answers.
-func replicas(t *testing.T) *world {
+// replicatedChain starts two entries and two engines for each third of the model.
+// The engines are slow enough for faults to occur in the middle of answers.
+func replicatedChain(t *testing.T) *world {
 	w := newWorld(t)
 	w.addEntries("entry-1", "entry-2")
 	halls := []string{"rose-hill", "quatre-bornes", "curepipe"}
@@ -27,16 +27,16 @@
 	return w
 }
 
-// load is many completions at once.
+// load is a set of concurrent completions.
 type load struct {
 	prompts []string
 	answers []answer
 	tokens  int
-	given   atomic.Int64 // answers that have ended
+	given   atomic.Int64 // number of responses that have ended
 	group   sync.WaitGroup
 }
 
-// run sends n completions, spread over the entries.
+// run starts n concurrent completions, spread over the entries.
 func run(n, tokens int, entries ...*process) *load {
 	l := &load{tokens: tokens, answers: make([]answer, n)}
 	for i := range n {
@@ -50,7 +50,7 @@
 	return l
 }
 
-// whole checks that every caller got the whole answer to its own request.
+// whole checks that every caller received the complete answer to its own request.
 func (l *load) whole(t *testing.T) {
 	t.Helper()
 	l.group.Wait()
@@ -61,8 +61,8 @@
 	}
 }
 
-// underWay waits until the engines have run some steps.
-func (w *world) underWay(steps int) {
+// awaitSteps waits until the engines have run the given number of steps in total.
+func (w *world) awaitSteps(steps int) {
 	w.eventually(func() bool {
 		n := 0
 		for _, e := range w.engines {
@@ -72,9 +72,9 @@
 	}, "%d steps have run", steps)
 }
 
-// begun waits until so many requests have begun to run: one that an entry has not read when it is
-// stopped is refused, as it should be.
-func (w *world) begun(requests int) {
+// awaitStarted waits until the given number of requests have started to run. An entry that is stopped
+// rightly refuses a request that it has not read yet.
+func (w *world) awaitStarted(requests int) {
 	w.eventually(func() bool {
 		seen := make(map[string]bool)
 		for _, e := range w.engines {
@@ -86,7 +86,7 @@
 	}, "%d requests have begun", requests)
 }
 
-// attempt names one attempt of a request at one engine.
+// attempt identifies one attempt of a request at one engine.
 type attempt struct {
 	request string
 	number  uint32
@@ -94,8 +94,8 @@
 }
 
 // checkOnce checks that within each attempt every stage ran each position once
-// and in order, and that no attempt began before a lower one of its request at
-// the same engine had ended.
+// and in order, and that an engine ran nothing of a lower attempt of a request
+// after a higher one.
 func (w *world) checkOnce(t *testing.T) {
 	t.Helper()
 	next := make(map[attempt]uint32)
--- a/test/e2e/path_test.go
+++ b/test/e2e/path_test.go
@@ -10,9 +10,9 @@
 	"github.com/grademill/grademill/standin/engine"
 )
 
-// thin starts two entries, three engines that hold a third of the model each,
+// chainOfThree starts two entries, three engines that hold a third of the model each,
 // and one plain service.
-func thin(t *testing.T) *world {
+func chainOfThree(t *testing.T) *world {
 	w := newWorld(t)
 	w.addEntries("entry-1", "entry-2")
 	w.engine("engine-1", "rose-hill", 0, 4)
@@ -24,8 +24,8 @@
 	return w
 }
 
-func TestThinPath(t *testing.T) {
-	w := thin(t)
+func TestRequestsRunOverChain(t *testing.T) {
+	w := chainOfThree(t)
 	for _, e := range w.entries {
 		a := complete(e, "plan my workout", 12)
 		require.NoError(t, a.err)
@@ -38,7 +38,7 @@
 	checkRuns(t, w, 2, len("plan my workout"), 12)
 }
 
-// checkRuns checks that each of n requests ran every layer once for each
+// checkRuns checks that each of n requests ran each stage's layers once for each
 // position, in order, in its first and only attempt.
 func checkRuns(t *testing.T, w *world, n, prompt, tokens int) {
 	covered := make(map[string]map[layer.Range]uint32)
@@ -57,7 +57,7 @@
 	}
 }
 
-// next checks that a run goes on where the last one of its stage ended.
+// next checks that a run continues where the previous run of the same stage ended.
 func next(t *testing.T, covered map[string]map[layer.Range]uint32, run engine.Run) {
 	if covered[run.Request] == nil {
 		covered[run.Request] = make(map[layer.Range]uint32)
@@ -67,7 +67,7 @@
 }
 
 func TestRefusals(t *testing.T) {
-	w := thin(t)
+	w := chainOfThree(t)
 	e := w.entries[0]
 	request := func(method, path, key, body string) answer {
 		return raw(t, method, e.http+path, key, body)
@@ -76,16 +76,16 @@
 		path, key, body string
 		status          int
 	}{
-		"wrong key":         {"/v1/completions", "nobody", `{"model":"assistant","prompt":"x"}`, http.StatusUnauthorized},
-		"malformed body":    {"/v1/completions", callerKey, `{"model":`, http.StatusBadRequest},
-		"no such model":     {"/v1/completions", callerKey, `{"model":"other","prompt":"x"}`, http.StatusNotFound},
-		"empty prompt":      {"/v1/completions", callerKey, `{"model":"assistant","prompt":""}`, http.StatusBadRequest},
-		"too many tokens":   {"/v1/completions", callerKey, `{"model":"assistant","prompt":"x","max_tokens":1000000}`, http.StatusBadRequest},
-		"no such service":   {"/v1/services/other/x", callerKey, `{}`, http.StatusNotFound},
-		"model as a plain":  {"/v1/services/assistant/x", callerKey, `{}`, http.StatusNotFound},
-		"plain as a model":  {"/v1/completions", callerKey, `{"model":"records","prompt":"x"}`, http.StatusNotFound},
-		"wrong operator":    {"/v1/completions", operatorKey, `{"model":"assistant","prompt":"x"}`, http.StatusUnauthorized},
-		"negative position": {"/v1/completions", callerKey, `{"model":"assistant","prompt":[-1]}`, http.StatusBadRequest},
+		"wrong key":                            {"/v1/completions", "nobody", `{"model":"assistant","prompt":"x"}`, http.StatusUnauthorized},
+		"malformed body":                       {"/v1/completions", callerKey, `{"model":`, http.StatusBadRequest},
+		"no such model":                        {"/v1/completions", callerKey, `{"model":"other","prompt":"x"}`, http.StatusNotFound},
+		"empty prompt":                         {"/v1/completions", callerKey, `{"model":"assistant","prompt":""}`, http.StatusBadRequest},
+		"too many tokens":                      {"/v1/completions", callerKey, `{"model":"assistant","prompt":"x","max_tokens":1000000}`, http.StatusBadRequest},
+		"no such service":                      {"/v1/services/other/x", callerKey, `{}`, http.StatusNotFound},
+		"model called as a plain service":      {"/v1/services/assistant/x", callerKey, `{}`, http.StatusNotFound},
+		"plain service called as a model":      {"/v1/completions", callerKey, `{"model":"records","prompt":"x"}`, http.StatusNotFound},
+		"operator key instead of a caller key": {"/v1/completions", operatorKey, `{"model":"assistant","prompt":"x"}`, http.StatusUnauthorized},
+		"negative position":                    {"/v1/completions", callerKey, `{"model":"assistant","prompt":[-1]}`, http.StatusBadRequest},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/test/e2e/place_test.go
+++ b/test/e2e/place_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An endpoint without layers is told to load what is missing, where the
+// An endpoint without layers is ordered to load the uncovered layers, if the
 // policies allow it.
 func TestIdleEndpointTakesTheMissingRange(t *testing.T) {
 	w := newWorld(t)
@@ -19,9 +19,9 @@
 	w.put(w.entries[0], "policies", "not-in-curepipe", `{"match":"false","place":"hall != 'curepipe'"}`)
 	w.configure(4)
 	w.eventually(func() bool { return complete(w.entries[0], "hello", 1).whole }, "the model is served")
-	require.Empty(t, w.engineRecord(w.engines[2]), "a policy forbids the hall")
+	require.Empty(t, w.engineRecord(w.engines[2]), "a policy forbids the hall of this endpoint")
 	require.NotEmpty(t, w.engineRecord(w.engines[3]))
-	// The leader is replaced: the next one goes on with a higher term.
+	// The next leader continues with a higher term after the first is killed.
 	w.put(w.entries[0], "policies", "not-in-curepipe", `{"match":"false"}`)
 	w.entries[0].kill()
 	w.agents[0].kill()
@@ -29,11 +29,11 @@
 	require.NotEmpty(t, w.engineRecord(w.engines[2]))
 }
 
-// A request whose entry is gone ends at all its stages.
+// The stages of a request end it when its entry has been killed.
 func TestOrphanedRequestEnds(t *testing.T) {
-	w := replicas(t)
+	w := replicatedChain(t)
 	l := run(1, 2000, w.entries[0])
-	w.underWay(20)
+	w.awaitSteps(20)
 	w.entries[0].kill()
 	l.group.Wait()
 	require.False(t, l.answers[0].whole)
@@ -41,9 +41,9 @@
 		before := w.steps()
 		again := run(4, 4, w.entries[1])
 		again.whole(t)
-		// Only the new requests' steps have been run since.
+		// Only the steps of the new requests have run since.
 		return w.steps()-before <= 4*3*5
-	}, "the orphaned request has ended")
+	}, "the orphaned request ends")
 }
 
 // steps returns the number of steps that all engines have run.
--- a/test/e2e/world_test.go
+++ b/test/e2e/world_test.go
@@ -1,5 +1,6 @@
-// Package e2e_test runs the whole path as separate processes and checks what
-// the stand-ins have recorded.
+// Package e2e_test runs entries, agents and simulated engines and services as
+// separate processes, sends requests and injects faults, and checks the responses
+// and the runs that engines and services have recorded.
 package e2e_test
 
 import (
@@ -24,8 +25,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	// The programs under test are built by TestMain; these imports make the
-	// result of a run stale when they change.
+	// TestMain builds the programs under test. These imports invalidate the
+	// cached test result when the programs change.
 	_ "github.com/grademill/grademill/adapter/adminhttp"
 	_ "github.com/grademill/grademill/adapter/callerhttp"
 	_ "github.com/grademill/grademill/adapter/enginehttp"
@@ -39,8 +40,8 @@
 	"github.com/grademill/grademill/standin/toy"
 )
 
-// patience bounds every wait: a test that reaches it has failed.
-const patience = 60 * time.Second
+// waitTimeout bounds every wait; a wait that reaches it fails the test.
+const waitTimeout = 60 * time.Second
 
 const (
 	callerKey   = "key-of-the-gym"
@@ -50,7 +51,7 @@
 	plainName   = "records"
 )
 
-// bin holds the built programs.
+// bin is the directory of the built programs.
 var bin string
 
 func TestMain(m *testing.M) {
@@ -70,11 +71,11 @@
 	os.Exit(code)
 }
 
-// process is one started process.
+// process is one started program.
 type process struct {
 	name    string
-	address string // where peers reach it
-	http    string // base of its HTTP address
+	address string // address for peers
+	http    string // base URL of its HTTP API
 	admin   string
 	hall    string
 	role    string
@@ -85,19 +86,19 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// kill ends the process with no chance to do anything.
+// kill kills the process and waits until it has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// stop asks the process to drain and waits until it has.
+// stop sends SIGTERM, upon which the process drains, and waits until it has exited.
 func (p *process) stop() {
 	p.signal(syscall.SIGTERM)
 	<-p.done
 }
 
-// world is a set of processes.
+// world is a complete deployment of processes for one test.
 type world struct {
 	t        *testing.T
 	dir      string
@@ -117,20 +118,20 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// worlds counts the worlds of this run; each has a loopback address of its own,
-// so that worlds at the same time do not take each other's ports.
+// worlds counts the worlds of this test run. Each has its own loopback address,
+// so that parallel tests do not take each other's ports.
 var worlds atomic.Int32
 
-// firstPort lies below the ports that the kernel gives to connections.
+// firstPort is below the kernel's range of ephemeral ports.
 const firstPort = 20000
 
-// port returns an address that nobody else uses.
+// port returns an unused address.
 func (w *world) port() string {
 	w.ports++
 	return fmt.Sprintf("%s:%d", w.ip, firstPort+w.ports)
 }
 
-// newWorld starts the platform.
+// newWorld starts the simulated platform.
 func newWorld(t *testing.T) *world {
 	t.Parallel()
 	n := worlds.Add(1)
@@ -155,7 +156,7 @@
 	}
 }
 
-// start starts a program; what it prints goes to a log.
+// start starts a program with its output appended to a log file.
 func (w *world) start(p *process, program string, args ...string) *process {
 	log, err := os.OpenFile(filepath.Join(w.dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	require.NoError(w.t, err)
@@ -180,7 +181,7 @@
 	address := w.port()
 	p := &process{name: name, http: "http://" + address}
 	w.start(p, "standin", append([]string{kind, "-listen", address}, args...)...)
-	w.eventually(func() bool { return reachable(address) }, "stand-in %s listens", name)
+	w.eventually(func() bool { return reachable(address) }, "stand-in %s accepts connections", name)
 	return p
 }
 
@@ -193,7 +194,7 @@
 	return true
 }
 
-// engine starts an engine with the layers [first, end) and an agent beside it.
+// engine starts an engine with the layers [first, end) and its agent.
 func (w *world) engine(name, hall string, first, end int, args ...string) *process {
 	args = append([]string{
 		"-service", modelName, "-layers", fmt.Sprint(modelLayers),
@@ -204,14 +205,14 @@
 	return w.agent("agent-"+name, hall, fmt.Sprintf("engine = %q", e.http))
 }
 
-// plain starts a plain service with an agent beside it.
+// plain starts a plain service and its agent.
 func (w *world) plain(name, hall string, args ...string) *process {
 	s := w.standin(name, "service", args...)
 	w.services = append(w.services, s)
 	return w.agent("agent-"+name, hall, fmt.Sprintf("plain = %q\nservice = %q", s.http, plainName))
 }
 
-// addresses returns the addresses of the entries, in quotes.
+// addresses returns the quoted, comma-separated addresses of the entries.
 func (w *world) addresses() string {
 	var quoted []string
 	for _, e := range w.entries {
@@ -229,12 +230,12 @@
 	return w.start(p, "grademill", "agent", p.file)
 }
 
-// restart starts a process again with the settings that it had.
+// restart starts a process again with the same settings.
 func (w *world) restart(p *process) {
 	w.start(p, "grademill", p.role, p.file)
 }
 
-// addEntries starts entries that know each other.
+// addEntries starts entries that have each other as peers.
 func (w *world) addEntries(names ...string) {
 	from := len(w.entries)
 	for _, name := range names {
@@ -268,7 +269,7 @@
 	w.list()
 }
 
-// list gives the platform the list of hosts.
+// list publishes the list of hosts to the platform, with the given processes marked as leaving.
 func (w *world) list(leaving ...*process) {
 	var list []hosts.Host
 	for _, p := range append(append([]*process(nil), w.entries...), w.agents...) {
@@ -281,8 +282,8 @@
 	w.post(w.platform.http+"/test/hosts", list, nil)
 }
 
-// fault makes the platform go wrong.
-func (w *world) fault(f platform.Fault) {
+// setFault injects a fault into the platform; the zero Fault ends it.
+func (w *world) setFault(f platform.Fault) {
 	w.post(w.platform.http+"/test/fault", f, nil)
 }
 
@@ -300,10 +301,10 @@
 
 func (w *world) eventually(ok func() bool, format string, args ...any) {
 	w.t.Helper()
-	require.Eventually(w.t, ok, patience, 20*time.Millisecond, fmt.Sprintf(format, args...))
+	require.Eventually(w.t, ok, waitTimeout, 20*time.Millisecond, fmt.Sprintf(format, args...))
 }
 
-// put makes a change through the admin API of an entry.
+// put retries a change through the admin API of an entry until it is accepted.
 func (w *world) put(e *process, kind, name, body string) {
 	w.t.Helper()
 	w.eventually(func() bool {
@@ -325,8 +326,8 @@
 	return answer.StatusCode, string(text)
 }
 
-// configure makes the services and the team, and waits until they are in force
-// at all entries with the given numbers of endpoints.
+// configure creates the services and the team, and waits until they are in force
+// at all entries, with the given number of endpoints.
 func (w *world) configure(endpoints int) {
 	w.put(w.entries[0], "services", modelName, fmt.Sprintf(
 		`{"kind":"model","model":"toy","layers":%d,"repeatable":true,"layers_per_engine":4}`, modelLayers))
@@ -337,7 +338,7 @@
 	}
 }
 
-// ready waits until an entry has the configuration and knows the endpoints.
+// ready waits until an entry has the configuration and knows the given number of endpoints.
 func (w *world) ready(e *process, endpoints int) {
 	w.eventually(func() bool {
 		status := w.status(e)
@@ -367,18 +368,18 @@
 	return s
 }
 
-// answer is what a caller got.
+// answer is the response that a caller received.
 type answer struct {
 	status   int
 	tokens   []uint32
-	whole    bool // the end mark came, with the right count
+	whole    bool // the end marker arrived and the token count matches
 	attempts int
 	outcome  string
 	body     string
 	err      error
 }
 
-// complete asks an entry for a streamed completion.
+// complete requests a streamed completion from an entry.
 func complete(e *process, prompt string, n int) answer {
 	body := fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":true}`, modelName, prompt, n)
 	request, err := http.NewRequest(http.MethodPost, e.http+"/v1/completions", strings.NewReader(body))
@@ -409,7 +410,7 @@
 	}
 }
 
-// read reads server-sent events to their end.
+// read reads server-sent events to the end of the stream.
 func (a *answer) read(r io.Reader) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, 1<<20)
@@ -453,7 +454,7 @@
 	}
 }
 
-// call asks an entry for a call of the plain service.
+// call calls the plain service through an entry; an empty key sends no Idempotency-Key.
 func call(e *process, key, body string) answer {
 	request, err := http.NewRequest(http.MethodPost, e.http+"/v1/services/"+plainName+"/renew", strings.NewReader(body))
 	if err != nil {
@@ -478,19 +479,19 @@
 	return a
 }
 
-// expected returns the answer that the model gives.
+// expected returns the n tokens that the model answers to a prompt.
 func expected(prompt string, n int) []uint32 {
 	return toy.Model{Name: modelName, Layers: modelLayers}.Answer(toy.Tokens(prompt), n)
 }
 
-// engineRecord returns what an engine has run.
+// engineRecord returns the runs recorded by an engine.
 func (w *world) engineRecord(e *process) []engine.Run {
 	var runs []engine.Run
 	w.get(e.http+"/v1/record", &runs)
 	return runs
 }
 
-// serviceRecord returns what all plain services have run.
+// serviceRecord returns the runs recorded by all plain services.
 func (w *world) serviceRecord() []service.Run {
 	var all []service.Run
 	for _, s := range w.services {
@@ -508,7 +509,7 @@
 	require.NoError(w.t, json.NewDecoder(answer.Body).Decode(into))
 }
 
-// raw sends one request as it is.
+// raw sends one request with the given method, URL, key and body.
 func raw(t *testing.T, method, url, key, body string) answer {
 	request, err := http.NewRequest(method, url, strings.NewReader(body))
 	require.NoError(t, err)
@@ -523,8 +524,8 @@
 	return a
 }
 
-// addEntriesDuringOutage starts one more entry that cannot reach the platform
-// and learns the rest from its peers.
+// addEntriesDuringOutage starts one more entry that cannot reach the platform,
+// and waits until it has learned the configuration from its peers.
 func (w *world) addEntriesDuringOutage(name string) {
 	w.addEntries(name)
 	w.eventually(func() bool {
