--- a/layout_test.go
+++ b/layout_test.go
@@ -1,4 +1,4 @@
-// Package grademill_test checks the layout rule of the project.
+// Package grademill_test checks the import rules and package layout of the project.
 package grademill_test
 
 import (
@@ -17,8 +17,8 @@
 
 const module = "github.com/grademill/grademill/"
 
-// decisions are the packages that decide: they take values and a time, and
-// return values.
+// decisions are the packages with pure decision logic: they take values and a time,
+// and return values.
 var decisions = []string{
 	"decide/answer",
 	"decide/apportion",
@@ -65,19 +65,19 @@
 	"decide/view",
 }
 
-// forbidden are imports that no decision package may have, by prefix.
+// forbidden are the import path prefixes not allowed in decision packages.
 var forbidden = []string{
 	"net", "os", "log", "syscall", "github.com/go-kratos", "github.com/sourcegraph/jsonrpc2",
 	"github.com/rs/zerolog", "github.com/prometheus", module + "adapter", module + "role", module + "platform",
 }
 
-// clocks are the functions of package time that read the clock or wait.
-var clocks = map[string]bool{
+// clockFuncs are the functions of package time that read the clock or wait.
+var clockFuncs = map[string]bool{
 	"Now": true, "Since": true, "Until": true, "After": true, "AfterFunc": true, "Sleep": true,
 	"NewTimer": true, "NewTicker": true, "Tick": true,
 }
 
-// sources parses the files of a package, without its tests.
+// sources parses the files of a package, except its tests.
 func sources(t *testing.T, dir string) []*ast.File {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	require.NoError(t, err)
@@ -93,8 +93,8 @@
 	return files
 }
 
-// imports returns what a package of this module imports, through other packages
-// of the module too.
+// imports adds to seen the paths that a package imports, directly or through other
+// packages of this module.
 func imports(t *testing.T, dir string, seen map[string]bool) {
 	for _, file := range sources(t, dir) {
 		for _, spec := range file.Imports {
@@ -124,8 +124,9 @@
 	}
 }
 
-// What is decided knows nothing of what is kept, and what is kept nothing of how it is carried.
-func TestImportsRunDown(t *testing.T) {
+// Guards the layering: decide and port import neither state, role, adapter nor
+// platform, and state imports neither role, adapter nor platform.
+func TestImportsFollowLayerOrder(t *testing.T) {
 	for folder, above := range map[string][]string{
 		"decide": {"state/", "role/", "adapter/", "platform"}, "state": {"role/", "adapter/", "platform"}, "port": {"state/", "role/", "adapter/", "platform"},
 	} {
@@ -146,16 +147,16 @@
 	}
 }
 
-func TestDecisionsReadNoClockAndStartNothing(t *testing.T) {
+func TestDecisionsReadNoClockAndStartNoGoroutine(t *testing.T) {
 	for _, dir := range decisions {
 		for _, file := range sources(t, dir) {
 			ast.Inspect(file, func(n ast.Node) bool {
 				switch n := n.(type) {
 				case *ast.GoStmt:
-					require.Fail(t, "starts a goroutine", dir)
+					require.Fail(t, "decision package starts a goroutine", dir)
 				case *ast.SelectorExpr:
 					if pkg, ok := n.X.(*ast.Ident); ok && pkg.Name == "time" {
-						require.False(t, clocks[n.Sel.Name], "%s calls time.%s", dir, n.Sel.Name)
+						require.False(t, clockFuncs[n.Sel.Name], "%s calls time.%s", dir, n.Sel.Name)
 					}
 				}
 				return true
@@ -164,7 +165,7 @@
 	}
 }
 
-// Nothing in the product starts a process.
+// Guards against product code that starts processes: it must not import os/exec.
 func TestNoProcessIsStarted(t *testing.T) {
 	err := filepath.WalkDir(".", func(path string, entry os.DirEntry, err error) error {
 		if err != nil || !entry.IsDir() || strings.HasPrefix(path, ".git") {
@@ -180,15 +181,15 @@
 	require.NoError(t, err)
 }
 
-// platformNames are the names of the users' platform on the wire and in its
-// store.
+// platformNames matches the names used by the users' platform on the wire and in
+// its store.
 var platformNames = regexp.MustCompile(
 	`X-(Request-Id|Deadline-Ms|Expect-Instance|Tenant|Token-Usage|Prefix-Hash|Model|Response-Seal|Not-Executed|Instance-)` +
 		`|At-Server|Length-Hint|Last-Event-Id|"Priority"|"Path"|"Versions"|/-/|"op/|"servers/|GRADEMILL_BOOT` +
 		`|path_prefix|api_keys|slo_ms|gap_aim_ms|kv_used|kv_total|to_version|busy_slots|read_x|act_bytes|pipe_mbps|cold_left_ms`)
 
-// The platform's names stand in platform/ alone, and in the stand-in that speaks
-// its protocol.
+// Only platform/, and the stand-ins that implement the platform's protocol, may
+// use the platform's names.
 func TestPlatformNamesStayInTheirFolder(t *testing.T) {
 	err := filepath.WalkDir(".", func(path string, entry os.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") ||
@@ -203,9 +204,9 @@
 	require.NoError(t, err)
 }
 
-// The folder that only translates stays small.
+// The package platform only translates, so it has to stay small.
 func TestPlatformFolderIsSmall(t *testing.T) {
-	const most = 1500
+	const maxLines = 1500
 	paths, err := filepath.Glob("platform/*.go")
 	require.NoError(t, err)
 	lines := 0
@@ -217,5 +218,5 @@
 		require.NoError(t, err)
 		lines += strings.Count(string(text), "\n")
 	}
-	require.Less(t, lines, most)
+	require.Less(t, lines, maxLines)
 }
