--- a/test/soak/caller_test.go
+++ b/test/soak/caller_test.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		return ex
 	}
-	defer answer.Body.Close() //nolint:errcheck // the body has been read
+	defer answer.Body.Close() //nolint:errcheck // read to its end
 	text, err := io.ReadAll(answer.Body)
 	ex.status, ex.body, ex.whole, ex.ended = answer.StatusCode, string(text), err == nil, time.Now()
 	if answer.StatusCode == http.StatusOK && answer.Header.Get("X-Response-Seal") == "" {
--- a/test/soak/proxy_test.go
+++ b/test/soak/proxy_test.go
@@ -90,7 +90,7 @@
 
 // forward forwards one connection until either side closes it.
 func (p *proxy) forward(client net.Conn) {
-	defer client.Close() //nolint:errcheck // closed by either side
+	defer client.Close() //nolint:errcheck // a proxy's connection
 	p.mu.Lock()
 	condition := p.condition
 	p.conns[client] = true
@@ -109,7 +109,7 @@
 		resetConn(client)
 		return
 	}
-	defer server.Close() //nolint:errcheck // closed by either side
+	defer server.Close() //nolint:errcheck // a proxy's connection
 	done := make(chan struct{}, 2)
 	go func() { p.pump(server, client, repliesOnly); done <- struct{}{} }()
 	go func() { p.pump(client, server, pass); done <- struct{}{} }()
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -2,7 +2,7 @@
 // and their surroundings, and checks the guarantees against the responses that callers
 // received and the requests that endpoints ran.
 //
-// 	go test ./test/soak -soak.seeds 50 -soak.from 1000 -soak.seconds 20 -timeout 1h
+//	go test ./test/soak -soak.seeds 50 -soak.from 1000 -soak.seconds 20 -timeout 1h
 //
 // Seeds that failed are kept in testdata/seeds.txt, with their cause, and replayed
 // in every run.
@@ -59,7 +59,7 @@
 func TestFormerFailures(t *testing.T) {
 	file, err := os.Open("testdata/seeds.txt")
 	require.NoError(t, err)
-	defer file.Close() //nolint:errcheck // opened for reading
+	defer file.Close() //nolint:errcheck // only read
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		text, _, _ := strings.Cut(lines.Text(), "#")
 		if text = strings.TrimSpace(text); text == "" {
