--- a/test/e2e/load_test.go
+++ b/test/e2e/load_test.go
@@ -32,7 +32,7 @@
 	prompts []string
 	answers []answer
 	tokens  int
-	given   atomic.Int64 // number of responses that have ended
+	ended   atomic.Int64 // number of responses that have ended
 	group   sync.WaitGroup
 }
 
@@ -44,7 +44,7 @@
 		l.prompts = append(l.prompts, prompt)
 		l.group.Go(func() {
 			l.answers[i] = complete(entries[i%len(entries)], prompt, tokens)
-			l.given.Add(1)
+			l.ended.Add(1)
 		})
 	}
 	return l
--- a/test/soak/caller_test.go
+++ b/test/soak/caller_test.go
@@ -24,7 +24,7 @@
 	whole  bool
 	events int
 	node   *node
-	// incarnation counts the processes of the gateway, stop is when this one got SIGTERM.
+	// incarnation and stop are the state of the gateway process when the request was sent.
 	incarnation int
 	stop        time.Time
 }
@@ -57,7 +57,7 @@
 	}
 }
 
-// pathPrefixes are the path prefixes of the routes; /plan/ is chosen twice as often.
+// pathPrefixes are the path prefixes of the routes that callers draw from; /plan/ is drawn twice as often.
 var pathPrefixes = []string{"/renew/", "/freeze/", "/plan/", "/once/", "/plan/"}
 
 // run sends requests one after another until ctx ends.
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -171,8 +171,8 @@
 		group.Go(func() { c.sendPoison(ctx, seed) })
 	}
 	faults := time.Duration(*seconds) * time.Second
-	burst, over := context.WithTimeout(ctx, faults/2)
-	defer over()
+	burst, cancelBurst := context.WithTimeout(ctx, faults/2)
+	defer cancelBurst()
 	for i := range l.burst {
 		group.Go(func() { c.run(burst, seed*1000+uint64(callerCount+i)) })
 	}
