--- a/cmd/grademill-gateway/daemon.go
+++ b/cmd/grademill-gateway/daemon.go
@@ -179,7 +179,7 @@
 // callerLimits returns the configured limits on callers' connections.
 func (d *daemon) callerLimits() ingress.Limits {
 	l := d.gateway.CallerLimits()
-	return ingress.Limits{Idle: l.IdleTimeout, HeadBytes: l.HeaderBytes, HeadWait: l.HeaderTimeout}
+	return ingress.Limits{Idle: l.IdleTimeout, HeadBytes: l.MaxHeaderBytes, HeadWait: l.HeaderTimeout}
 }
 
 // errorLog forwards the error lines of an HTTP server to the process log.
--- a/cmd/measure/placements.go
+++ b/cmd/measure/placements.go
@@ -40,8 +40,8 @@
 
 // cardKinds holds the cardKinds of accelerator cards in the users' deployments.
 var cardKinds = map[string]catalog.Card{
-	"a100": {Memory: 72000, Pace: 2.4, Read: 3.2}, "l40s": {Memory: 43200, Pace: 5.6, Read: 2.7},
-	"l4": {Memory: 21600, Pace: 16, Read: 8.2},
+	"a100": {Memory: 72000, TokenTimeFactor: 2.4, PromptTimeFactor: 3.2}, "l40s": {Memory: 43200, TokenTimeFactor: 5.6, PromptTimeFactor: 2.7},
+	"l4": {Memory: 21600, TokenTimeFactor: 16, PromptTimeFactor: 8.2},
 }
 
 // drawnModel is the model of the users' deployments.
@@ -58,7 +58,7 @@
 	{"planner", byPlanner},
 	{"further copies from the first layer on", consecutive(func(c spread.Card) float64 { return 0.6 * cardKinds[c.Kind].Memory / drawnModel.LayerSize })},
 	{"equal shares", consecutive(func(spread.Card) float64 { return 10 })},
-	{"layers by speed", consecutive(func(c spread.Card) float64 { return 56 / cardKinds[c.Kind].Pace })},
+	{"layers by speed", consecutive(func(c spread.Card) float64 { return 56 / cardKinds[c.Kind].TokenTimeFactor })},
 	{"whole copies by memory", byMemory},
 }
 
@@ -110,7 +110,9 @@
 				cards = append(cards, spread.Card{Hall: "h", Kind: k.kind})
 			}
 		}
-		slices.SortStableFunc(cards, func(a, b spread.Card) int { return cmp.Compare(cardKinds[a.Kind].Pace, cardKinds[b.Kind].Pace) })
+		slices.SortStableFunc(cards, func(a, b spread.Card) int {
+			return cmp.Compare(cardKinds[a.Kind].TokenTimeFactor, cardKinds[b.Kind].TokenTimeFactor)
+		})
 		for i := range cards {
 			cards[i].ID = fmt.Sprintf("card-%02d", i)
 		}
@@ -139,8 +141,8 @@
 func room(cards []spread.Card) float64 {
 	at := make([]float64, drawnModel.Layers)
 	for _, c := range cards {
-		for l := c.Holds.First; l < c.Holds.End; l++ {
-			at[l] += float64(max(drawnModel.Room(cardKinds[c.Kind], c.Holds.Len()), 0))
+		for l := c.Layers.First; l < c.Layers.End; l++ {
+			at[l] += float64(max(drawnModel.Room(cardKinds[c.Kind], c.Layers.Len()), 0))
 		}
 	}
 	return slices.Min(at)
@@ -154,8 +156,8 @@
 	for l := range drawnModel.Layers {
 		least := math.Inf(1)
 		for _, c := range cards {
-			if c.Holds.First <= l && l < c.Holds.End {
-				least = min(least, cardKinds[c.Kind].Pace)
+			if c.Layers.First <= l && l < c.Layers.End {
+				least = min(least, cardKinds[c.Kind].TokenTimeFactor)
 			}
 		}
 		sum += least * step / float64(drawnModel.Layers)
@@ -174,7 +176,7 @@
 	for _, m := range moves {
 		for i := range cards {
 			if cards[i].ID == m.ID {
-				cards[i].Holds = m.Layers
+				cards[i].Layers = m.Layers
 			}
 		}
 	}
@@ -190,7 +192,7 @@
 		for i, c := range cards {
 			n := min(max(int(math.Round(size(c))), 1), int(0.9*cardKinds[c.Kind].Memory/drawnModel.LayerSize))
 			end := min(next+n, drawnModel.Layers)
-			cards[i].Holds = layer.Range{First: next, End: end}
+			cards[i].Layers = layer.Range{First: next, End: end}
 			next = end % drawnModel.Layers
 		}
 		return cards
@@ -214,7 +216,7 @@
 		for _, i := range list {
 			first := int(math.Round(sum / held[g] * float64(drawnModel.Layers)))
 			sum += cardKinds[cards[i].Kind].Memory
-			cards[i].Holds = layer.Range{First: first, End: int(math.Round(sum / held[g] * float64(drawnModel.Layers)))}
+			cards[i].Layers = layer.Range{First: first, End: int(math.Round(sum / held[g] * float64(drawnModel.Layers)))}
 		}
 	}
 	return cards
--- a/cmd/measure/slopes_state.go
+++ b/cmd/measure/slopes_state.go
@@ -74,10 +74,10 @@
 	for i := range models {
 		services[fmt.Sprint("model-", i)] = config.Object[config.Service]{Value: config.Service{Kind: config.Model, Layers: 32}}
 	}
-	v := &view.View{Home: "hall-0", Links: func(_, _ string) time.Duration { return time.Millisecond }}
+	v := &view.View{HomeHall: "hall-0", Links: func(_, _ string) time.Duration { return time.Millisecond }}
 	for i := range n {
 		part := (i / models) % 4
-		v.Introduced(fleet.Endpoint{
+		v.RecordIntroduction(fleet.Endpoint{
 			Name: fmt.Sprintf("endpoint-%05d", i), Address: fmt.Sprintf("10.1.%d.%d:7000", i/256, i%256),
 			Incarnation: uint64(i + 1),
 			Hall:        fmt.Sprint("hall-", i%10), Service: fmt.Sprint("model-", i%models),
--- a/decide/apportion/division.go
+++ b/decide/apportion/division.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// DefaultEven is the fraction of a limit that is divided evenly, so that a gateway without
+	// DefaultEvenShare is the fraction of a limit that is divided evenly, so that a gateway without
 	// demand until now can start at once.
-	DefaultEven = 0.1
+	DefaultEvenShare = 0.1
 	// holdersPerLimit and spareHolders bound the number of gateways with a share, in proportion to
 	// the limit: each may accumulate one request, or its share over throttle.BurstSpan. If all of
 	// them spend their tokens at once, the endpoint gets at most twice the limit within a second,
@@ -26,8 +26,8 @@
 	Name string
 	// Members is the number of gateways, 1 for a single gateway.
 	Members int
-	// Wanted is the demand in requests per second.
-	Wanted float64
+	// Demand is the demand in requests per second.
+	Demand float64
 }
 
 // Division is one gateway's view of a limit and of the gateways that share it.
@@ -42,20 +42,20 @@
 	Fleet int
 	// Own is this gateway's claim, Near holds those of the gateways that report to it one by one,
 	// and Far those of other halls.
-	Own       Claim
-	Near, Far []Claim
-	// Even is the fraction of the limit that is divided evenly, from 0 to 1. The rest is divided in
+	Own                  Claim
+	Individual, HallSums []Claim
+	// EvenShare is the fraction of the limit that is divided evenly, from 0 to 1. The rest is divided in
 	// proportion to demand.
-	Even float64
+	EvenShare float64
 }
 
 // Share returns this gateway's share in requests per second. If there are more near gateways than
 // can have a usable share, most of them get 0.
 func (d Division) Share() float64 {
-	reporting, wanted := d.Own.Members, d.Own.Wanted
-	for _, c := range slices.Concat(d.Near, d.Far) {
+	reporting, wanted := d.Own.Members, d.Own.Demand
+	for _, c := range slices.Concat(d.Individual, d.HallSums) {
 		reporting += c.Members
-		wanted += c.Wanted
+		wanted += c.Demand
 	}
 	fleet := float64(max(d.Fleet, reporting))
 	shareOf := func(c Claim) float64 {
@@ -63,14 +63,14 @@
 		if wanted <= 0 {
 			return even
 		}
-		return d.Even*even + (1-d.Even)*c.Wanted/wanted*float64(reporting)/fleet
+		return d.EvenShare*even + (1-d.EvenShare)*c.Demand/wanted*float64(reporting)/fleet
 	}
 	near := shareOf(d.Own)
-	for _, c := range d.Near {
+	for _, c := range d.Individual {
 		near += shareOf(c)
 	}
 	maxHolders := max(int((d.Limit*holdersPerLimit+spareHolders)*near), 1)
-	if len(d.Near) < maxHolders {
+	if len(d.Individual) < maxHolders {
 		return d.Limit * shareOf(d.Own)
 	}
 	holders := d.holders(maxHolders)
@@ -78,7 +78,7 @@
 		return 0
 	}
 	holdersShare := shareOf(d.Own)
-	for _, c := range d.Near {
+	for _, c := range d.Individual {
 		if slices.Contains(holders, c.Name) {
 			holdersShare += shareOf(c)
 		}
@@ -90,8 +90,8 @@
 // with demand come first.
 func (d Division) holders(n int) []string {
 	var wanting, others []string
-	for _, c := range append([]Claim{d.Own}, d.Near...) {
-		if c.Wanted > 0 && d.Even < 1 {
+	for _, c := range append([]Claim{d.Own}, d.Individual...) {
+		if c.Demand > 0 && d.EvenShare < 1 {
 			wanting = append(wanting, c.Name)
 		} else {
 			others = append(others, c.Name)
--- a/decide/apportion/division_test.go
+++ b/decide/apportion/division_test.go
@@ -100,7 +100,7 @@
 			}
 			for range m.arrivals(n.demand(at)) {
 				n.throttle = n.throttle.WithDemand(now)
-				if n.throttle.Held(now) == throttle.Free {
+				if n.throttle.Held(now) == throttle.NotHeld {
 					n.throttle = n.throttle.WithRequest(now)
 					m.sent = append(m.sent, now)
 				}
@@ -127,12 +127,12 @@
 // sendClaim sends a gateway's claim to the others of its hall, or to all in a flat fleet. In a
 // large fleet the first gateway of a hall also sends the hall's sum to the other halls.
 func (m *simulation) sendClaim(n *node, at time.Duration) {
-	own := apportion.Claim{Name: n.name, Members: 1, Wanted: n.throttle.Demand(epoch.Add(at))}
-	sum := apportion.Claim{Members: 1, Wanted: own.Wanted}
+	own := apportion.Claim{Name: n.name, Members: 1, Demand: n.throttle.Demand(epoch.Add(at))}
+	sum := apportion.Claim{Members: 1, Demand: own.Demand}
 	for _, c := range n.claims {
 		if c.Name != "" {
 			sum.Members++
-			sum.Wanted += c.Wanted
+			sum.Demand += c.Demand
 		}
 	}
 	for _, other := range m.nodes {
@@ -158,8 +158,8 @@
 // share returns a gateway's share. It drops the claims of gateways that cannot reach it.
 func (m *simulation) share(n *node, at time.Duration) float64 {
 	d := apportion.Division{
-		Key: "endpoint", Limit: m.limit(at), Fleet: len(m.nodes), Even: m.even,
-		Own: apportion.Claim{Name: n.name, Members: 1, Wanted: n.throttle.Claim(epoch.Add(at), 2*m.digestInterval())},
+		Key: "endpoint", Limit: m.limit(at), Fleet: len(m.nodes), EvenShare: m.even,
+		Own: apportion.Claim{Name: n.name, Members: 1, Demand: n.throttle.Claim(epoch.Add(at), 2*m.digestInterval())},
 	}
 	for _, other := range m.nodes {
 		if m.partitioned != nil && m.partitioned(n, other, at) {
@@ -168,9 +168,9 @@
 	}
 	for _, c := range n.claims {
 		if c.Name != "" {
-			d.Near = append(d.Near, c)
+			d.Individual = append(d.Individual, c)
 		} else {
-			d.Far = append(d.Far, c)
+			d.HallSums = append(d.HallSums, c)
 		}
 	}
 	return d.Share()
@@ -230,7 +230,7 @@
 				return m.run()
 			}
 			evenly, excessEvenly := runWith(even)
-			byDemand, excess := runWith(apportion.DefaultEven)
+			byDemand, excess := runWith(apportion.DefaultEvenShare)
 			t.Logf("limit %.3g/s: %.2f/s evenly (worst excess %d), %.2f/s by demand (%d)", c.limit, evenly, excessEvenly, byDemand, excess)
 			assert.LessOrEqual(t, excessEvenly, 0)
 			assert.LessOrEqual(t, excess, 0)
@@ -271,7 +271,7 @@
 			t.Run(fmt.Sprint(name, " ", size), func(t *testing.T) {
 				t.Parallel()
 				m := newSimulation(size, func(int) float64 { return 6 })
-				m.even = apportion.DefaultEven
+				m.even = apportion.DefaultEvenShare
 				change(m)
 				goodput, excess := m.run()
 				t.Logf("%.2f/s, worst excess %d", goodput, excess)
@@ -288,15 +288,15 @@
 		var claims []apportion.Claim
 		for i := range 1 + random.IntN(40) {
 			claims = append(claims, apportion.Claim{
-				Name: fmt.Sprint(i), Members: 1, Wanted: max(random.Float64()*20-5, 0),
+				Name: fmt.Sprint(i), Members: 1, Demand: max(random.Float64()*20-5, 0),
 			})
 		}
 		limit := 0.1 + random.ExpFloat64()*10
 		sum := 0.0
 		for i, own := range claims {
 			sum += apportion.Division{
-				Key: "endpoint", Limit: limit, Fleet: len(claims), Own: own, Even: apportion.DefaultEven,
-				Near: slices.Concat(claims[:i], claims[i+1:]),
+				Key: "endpoint", Limit: limit, Fleet: len(claims), Own: own, EvenShare: apportion.DefaultEvenShare,
+				Individual: slices.Concat(claims[:i], claims[i+1:]),
 			}.Share()
 		}
 		require.InEpsilon(t, limit, sum, 1e-9, "%v", claims)
--- a/decide/catalog/route.go
+++ b/decide/catalog/route.go
@@ -32,8 +32,8 @@
 	Shares []Share
 	// Timeout bounds the total time of a request; 0 means no bound.
 	Timeout time.Duration
-	// Objective is the target time to the answer or to its first event.
-	Objective time.Duration
+	// TargetLatency is the target time to the answer or to its first event.
+	TargetLatency time.Duration
 	// MaxPause is the target for the longest pause between two events.
 	MaxPause time.Duration
 	// Priority is 0 for the most urgent requests.
--- a/decide/catalog/service.go
+++ b/decide/catalog/service.go
@@ -26,9 +26,9 @@
 	Step, PerSequence, PerContext time.Duration
 	// ReadRate is the number of prompt tokens read per second.
 	ReadRate float64
-	// Handed is the data that an endpoint passes on for one token, in MB, and LinkRate the
+	// TransferPerToken is the data that an endpoint passes on for one token, in MB, and LinkRate the
 	// capacity of the link between two halls, in MB per second; 0 means no bound.
-	Handed, LinkRate float64
+	TransferPerToken, LinkRate float64
 	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
 	// Load is the time to load all layers onto one card.
@@ -43,9 +43,9 @@
 type Card struct {
 	// Memory is in MB.
 	Memory float64
-	// Pace is a factor on the time per token, Read one on the time to read a prompt; higher is
+	// TokenTimeFactor is a factor on the time per token, PromptTimeFactor one on the time to read a prompt; higher is
 	// slower.
-	Pace, Read float64
+	TokenTimeFactor, PromptTimeFactor float64
 }
 
 // Room returns the number of tokens for which a card has memory beside the given number of
--- a/decide/chain/chain.go
+++ b/decide/chain/chain.go
@@ -8,15 +8,15 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// Part is a range of layers that one endpoint runs.
-type Part struct {
+// Stage is a range of layers that one endpoint runs.
+type Stage struct {
 	// ID and Address are those of the endpoint.
 	ID, Address string
 	Layers      layer.Range
 }
 
 // Chain is a list of parts in the order of their layers.
-type Chain []Part
+type Chain []Stage
 
 // Covers reports whether c runs each of a model's layers exactly once and in order, with no
 // address occurring twice.
--- a/decide/chain/finder.go
+++ b/decide/chain/finder.go
@@ -7,8 +7,8 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// MaxParts is the largest number of parts in a chain. Engines refuse longer chains.
-const MaxParts = 32
+// MaxStages is the largest number of parts in a chain. Engines refuse longer chains.
+const MaxStages = 32
 
 // initialCapacity is the capacity of a new chain.
 const initialCapacity = 12
@@ -19,10 +19,10 @@
 	// Hall is the index of the data hall in Finder.Hops.
 	Hall   int
 	Layers layer.Range
-	// PerLayer is the cost of one layer for one token, in seconds.
-	PerLayer float64
-	// Fixed is the cost per token that does not depend on the number of layers, in seconds.
-	Fixed float64
+	// CostPerLayer is the cost of one layer for one token, in seconds.
+	CostPerLayer float64
+	// FixedCost is the cost per token that does not depend on the number of layers, in seconds.
+	FixedCost float64
 }
 
 // Finder finds the cheapest chain. It reuses its working memory between calls and is not safe
@@ -30,10 +30,10 @@
 type Finder struct {
 	// Layers is the number of layers of the model.
 	Layers int
-	// Hops[i][j] is the cost of passing a token on from hall i to hall j, in seconds.
-	Hops [][]float64
-	// Entry[i] is the cost of starting a chain in hall i, in seconds.
-	Entry []float64
+	// HopCost[i][j] is the cost of passing a token on from hall i to hall j, in seconds.
+	HopCost [][]float64
+	// EntryCost[i] is the cost of starting a chain in hall i, in seconds.
+	EntryCost []float64
 
 	boundaries []int
 	// cost and from have a row for each boundary and a column for each holder: the least cost
@@ -78,7 +78,7 @@
 	size := len(f.boundaries) * len(holders)
 	f.cost = slices.Grow(f.cost[:0], size)[:size]
 	f.from = slices.Grow(f.from[:0], size)[:size]
-	f.cheapestEnds = slices.Grow(f.cheapestEnds[:0], len(f.Hops))[:len(f.Hops)]
+	f.cheapestEnds = slices.Grow(f.cheapestEnds[:0], len(f.HopCost))[:len(f.HopCost)]
 	for i := range f.cost {
 		f.cost[i] = math.Inf(1)
 		f.from[i] = -1
@@ -99,7 +99,7 @@
 		if before[j] <= cost {
 			cost, from = before[j], int16(j)
 		}
-		after[j] = cost + float64(high-low)*h.PerLayer
+		after[j] = cost + float64(high-low)*h.CostPerLayer
 		f.from[k*n+j] = from
 	}
 }
@@ -124,14 +124,14 @@
 func (f *Finder) cheapestEntry(k, j int, before []float64, holders []Holder) (float64, int16) {
 	h := holders[j]
 	if k == 1 {
-		return f.Entry[h.Hall] + h.Fixed, -1
+		return f.EntryCost[h.Hall] + h.FixedCost, -1
 	}
 	cost, from := math.Inf(1), int16(-1)
 	for hall, i := range f.cheapestEnds {
 		if i < 0 || int(i) == j {
 			continue
 		}
-		if c := before[i] + f.Hops[hall][h.Hall] + h.Fixed; c < cost {
+		if c := before[i] + f.HopCost[hall][h.Hall] + h.FixedCost; c < cost {
 			cost, from = c, i
 		}
 	}
@@ -157,7 +157,7 @@
 		if len(chain) > 0 && chain[len(chain)-1].ID == holders[at].ID {
 			chain[len(chain)-1].Layers.First = f.boundaries[k-1]
 		} else {
-			chain = append(chain, Part{
+			chain = append(chain, Stage{
 				ID: holders[at].ID, Address: holders[at].Address,
 				Layers: layer.Range{First: f.boundaries[k-1], End: f.boundaries[k]},
 			})
@@ -168,7 +168,7 @@
 	}
 	slices.Reverse(chain)
 	chain = merge(chain)
-	return chain, len(chain) <= MaxParts && chain.Covers(f.Layers)
+	return chain, len(chain) <= MaxStages && chain.Covers(f.Layers)
 }
 
 // merge gives a holder that occurs again the layers between its parts. The holder has these
--- a/decide/chain/finder_test.go
+++ b/decide/chain/finder_test.go
@@ -17,14 +17,14 @@
 // one.
 func finder(layers int) *chain.Finder {
 	return &chain.Finder{
-		Layers: layers, Entry: []float64{0, 1, 1},
-		Hops: [][]float64{{0.3, 5, 5}, {5, 0.3, 5}, {5, 5, 0.3}},
+		Layers: layers, EntryCost: []float64{0, 1, 1},
+		HopCost: [][]float64{{0.3, 5, 5}, {5, 0.3, 5}, {5, 5, 0.3}},
 	}
 }
 
 func holder(name string, hall, first, end int, perLayer float64) chain.Holder {
 	return chain.Holder{
-		ID: name, Address: name + ":1", Hall: hall, Layers: layer.Range{First: first, End: end}, PerLayer: perLayer,
+		ID: name, Address: name + ":1", Hall: hall, Layers: layer.Range{First: first, End: end}, CostPerLayer: perLayer,
 	}
 }
 
@@ -93,11 +93,11 @@
 	for _, p := range c {
 		j := slices.IndexFunc(holders, func(h chain.Holder) bool { return h.ID == p.ID })
 		if last < 0 {
-			cost += f.Entry[holders[j].Hall]
+			cost += f.EntryCost[holders[j].Hall]
 		} else {
-			cost += f.Hops[holders[last].Hall][holders[j].Hall]
+			cost += f.HopCost[holders[last].Hall][holders[j].Hall]
 		}
-		cost += float64(p.Layers.Len()) * holders[j].PerLayer
+		cost += float64(p.Layers.Len()) * holders[j].CostPerLayer
 		last = j
 	}
 	return cost
@@ -119,12 +119,12 @@
 		if h.Layers.First > from.at || h.Layers.End <= from.at {
 			continue
 		}
-		cost := h.PerLayer
+		cost := h.CostPerLayer
 		switch {
 		case from.last < 0:
-			cost += f.Entry[h.Hall]
+			cost += f.EntryCost[h.Hall]
 		case from.last != j:
-			cost += f.Hops[holders[from.last].Hall][h.Hall]
+			cost += f.HopCost[holders[from.last].Hall][h.Hall]
 		}
 		best = min(best, cost+leastCost(f, holders, searchState{from.at + 1, j}, known))
 	}
@@ -133,8 +133,8 @@
 }
 
 func TestCovers(t *testing.T) {
-	part := func(name string, first, end int) chain.Part {
-		return chain.Part{ID: name, Address: name, Layers: layer.Range{First: first, End: end}}
+	part := func(name string, first, end int) chain.Stage {
+		return chain.Stage{ID: name, Address: name, Layers: layer.Range{First: first, End: end}}
 	}
 	require.True(t, chain.Chain{part("a", 0, 4), part("b", 4, 8)}.Covers(8))
 	require.False(t, chain.Chain{part("a", 0, 4), part("b", 5, 8)}.Covers(8), "gap")
--- a/decide/comeback/book.go
+++ b/decide/comeback/book.go
@@ -15,10 +15,10 @@
 	minRate = 4
 )
 
-// Book assigns rejected callers times to retry, spaced at the rate at which room becomes available:
-// callers with the same delay would arrive together and be rejected together. The zero Book is
+// Schedule assigns rejected callers times to retry, spaced at the rate at which room becomes available:
+// callers with the same delay would arrive together and be rejected together. The zero Schedule is
 // ready to use. It is not safe for concurrent use.
-type Book struct {
+type Schedule struct {
 	// last is the latest time assigned.
 	last time.Time
 }
@@ -27,17 +27,17 @@
 type Load struct {
 	// Admitted is the rate of requests admitted, per second.
 	Admitted float64
-	// Lasts is the typical duration of a request, 0 if unknown. No delay is shorter, because a slot
+	// RequestDuration is the typical duration of a request, 0 if unknown. No delay is shorter, because a slot
 	// that is taken is usually still taken a moment later: of callers told to retry after the
 	// duration, 8 in 1,000 were rejected again; of those told to retry after half a second, 19
 	// (smallest cards at 1.4 times their capacity).
-	Lasts time.Duration
+	RequestDuration time.Duration
 }
 
-// Wait returns the Retry-After delay of a caller rejected at now, at most maxDelay. Once the
+// Delay returns the Retry-After delay of a caller rejected at now, at most maxDelay. Once the
 // assigned times exceed maxDelay, they start over.
-func (b *Book) Wait(now time.Time, load Load, maxDelay time.Duration) time.Duration {
-	first := now.Add(min(max(load.Lasts, minDelay), maxDelay))
+func (b *Schedule) Delay(now time.Time, load Load, maxDelay time.Duration) time.Duration {
+	first := now.Add(min(max(load.RequestDuration, minDelay), maxDelay))
 	next := b.last.Add(time.Duration(float64(time.Second) / max(returnShare*load.Admitted, minRate)))
 	if next.Before(first) || next.Sub(now) > maxDelay {
 		next = first
--- a/decide/comeback/book_test.go
+++ b/decide/comeback/book_test.go
@@ -12,11 +12,11 @@
 // Callers rejected together must be told to retry one after the other, at a quarter of the
 // admission rate, and never later than the maximum delay.
 func TestRetryTimesAreSpread(t *testing.T) {
-	var b comeback.Book
+	var b comeback.Schedule
 	now := time.Unix(1000, 0)
 	perSecond := make(map[int]int)
 	for range 165 {
-		wait := b.Wait(now, comeback.Load{Admitted: 40}, 6*time.Second)
+		wait := b.Delay(now, comeback.Load{Admitted: 40}, 6*time.Second)
 		require.GreaterOrEqual(t, wait, 500*time.Millisecond)
 		require.LessOrEqual(t, wait, 6*time.Second)
 		perSecond[int(wait/time.Second)]++
@@ -27,33 +27,33 @@
 }
 
 func TestFirstCallerGetsMinimumDelay(t *testing.T) {
-	var b comeback.Book
+	var b comeback.Schedule
 	now := time.Unix(1000, 0)
-	require.Equal(t, 500*time.Millisecond, b.Wait(now, comeback.Load{Admitted: 40}, 6*time.Second))
+	require.Equal(t, 500*time.Millisecond, b.Delay(now, comeback.Load{Admitted: 40}, 6*time.Second))
 	later := now.Add(time.Minute)
-	require.Equal(t, 500*time.Millisecond, b.Wait(later, comeback.Load{Admitted: 40}, 6*time.Second), "earlier times have passed")
+	require.Equal(t, 500*time.Millisecond, b.Delay(later, comeback.Load{Admitted: 40}, 6*time.Second), "earlier times have passed")
 }
 
 // A caller with a short timeout must not be given a longer delay.
 func TestDelayIsWithinTheCallersTimeout(t *testing.T) {
-	var b comeback.Book
+	var b comeback.Schedule
 	for range 20 {
-		require.LessOrEqual(t, b.Wait(time.Unix(1000, 0), comeback.Load{Lasts: 3 * time.Second}, 150*time.Millisecond), 150*time.Millisecond)
+		require.LessOrEqual(t, b.Delay(time.Unix(1000, 0), comeback.Load{RequestDuration: 3 * time.Second}, 150*time.Millisecond), 150*time.Millisecond)
 	}
 }
 
 // Slots stay taken for about the duration of a request, so no caller may be told to retry sooner,
 // and callers rejected together must still retry one after the other.
 func TestDelayIsAtLeastTheRequestDuration(t *testing.T) {
-	var b comeback.Book
+	var b comeback.Schedule
 	now := time.Unix(1000, 0)
-	load := comeback.Load{Admitted: 40, Lasts: 3 * time.Second}
+	load := comeback.Load{Admitted: 40, RequestDuration: 3 * time.Second}
 	before := time.Duration(0)
 	for range 30 {
-		wait := b.Wait(now, load, 6*time.Second)
+		wait := b.Delay(now, load, 6*time.Second)
 		require.GreaterOrEqual(t, wait, 3*time.Second)
 		require.Greater(t, wait, before)
 		before = wait
 	}
-	require.Equal(t, 3*time.Second, b.Wait(now.Add(time.Minute), load, 6*time.Second))
+	require.Equal(t, 3*time.Second, b.Delay(now.Add(time.Minute), load, 6*time.Second))
 }
--- a/decide/departure/departure.go
+++ b/decide/departure/departure.go
@@ -21,19 +21,19 @@
 // Covers reports whether an endpoint, known from a record of the given revision, takes no new
 // work.
 func (d Departure) Covers(e endpoint.Endpoint, revision uint64) bool {
-	if e.ID != d.Endpoint || e.Follows(d.incarnation()) {
+	if e.ID != d.Endpoint || e.Supersedes(d.incarnation()) {
 		return false
 	}
 	return d.Announced || revision < d.Revision
 }
 
-// With combines two departures of the same endpoint. The one of the later incarnation takes
+// Merge combines two departures of the same endpoint. The one of the later incarnation takes
 // precedence.
-func (d Departure) With(other Departure) Departure {
+func (d Departure) Merge(other Departure) Departure {
 	switch {
-	case d == Departure{} || other.incarnation().Follows(d.incarnation()):
+	case d == Departure{} || other.incarnation().Supersedes(d.incarnation()):
 		return other
-	case d.incarnation().Follows(other.incarnation()):
+	case d.incarnation().Supersedes(other.incarnation()):
 		return d
 	}
 	d.Born = max(d.Born, other.Born)
--- a/decide/departure/departure_test.go
+++ b/decide/departure/departure_test.go
@@ -36,9 +36,9 @@
 	gone := departure.Departure{Endpoint: "a", Born: 5, Revision: 9}
 	later := departure.Departure{Endpoint: "a", Born: 6, Revision: 8}
 	both := departure.Departure{Endpoint: "a", Born: 5, Revision: 9, Announced: true}
-	assert.Equal(t, gone, departure.Departure{}.With(gone))
-	assert.Equal(t, both, announced.With(gone))
-	assert.Equal(t, both, gone.With(announced))
-	assert.Equal(t, later, both.With(later))
-	assert.Equal(t, later, later.With(both))
+	assert.Equal(t, gone, departure.Departure{}.Merge(gone))
+	assert.Equal(t, both, announced.Merge(gone))
+	assert.Equal(t, both, gone.Merge(announced))
+	assert.Equal(t, later, both.Merge(later))
+	assert.Equal(t, later, later.Merge(both))
 }
--- a/decide/fence/session.go
+++ b/decide/fence/session.go
@@ -51,8 +51,8 @@
 	Last Step
 	// Running is set while a step of the attempt runs on the endpoint.
 	Running bool
-	// Closed is set once Attempt was cancelled; no step of it runs again.
-	Closed bool
+	// Cancelled is set once Attempt was cancelled; no step of it runs again.
+	Cancelled bool
 }
 
 // Admit returns the verdict on a step.
@@ -62,7 +62,7 @@
 		return Stale
 	case step.Attempt > s.Attempt:
 		return admitFirst(step)
-	case s.Closed:
+	case s.Cancelled:
 		return Stale
 	case step == s.Last:
 		return Replay
@@ -98,7 +98,7 @@
 // WithDone returns the session after a step has run. It returns the session unchanged and false for
 // a step of an earlier or cancelled attempt, whose output must not be used.
 func (s Session) WithDone(step Step) (Session, bool) {
-	if step.Attempt != s.Attempt || s.Closed || !s.Running {
+	if step.Attempt != s.Attempt || s.Cancelled || !s.Running {
 		return s, false
 	}
 	s.Running = false
@@ -112,5 +112,5 @@
 	if attempt < s.Attempt {
 		return s
 	}
-	return Session{Attempt: attempt, Closed: true}
+	return Session{Attempt: attempt, Cancelled: true}
 }
--- a/decide/fleet/endpoint.go
+++ b/decide/fleet/endpoint.go
@@ -38,8 +38,8 @@
 	Limit int
 	// Batch is the number of steps that the endpoint runs together; zero while unknown.
 	Batch int
-	// Seen is the time of the agent's last heartbeat.
-	Seen time.Time
+	// LastHeartbeat is the time of the agent's last heartbeat.
+	LastHeartbeat time.Time
 }
 
 // WithLeaving returns e with Leaving set to leaving.
--- a/decide/freshness/freshness.go
+++ b/decide/freshness/freshness.go
@@ -28,8 +28,8 @@
 	Revocation time.Duration
 }
 
-// Serves reports whether requests with a key may be served with a proof of the given age.
-func (p Policy) Serves(age time.Duration) bool {
+// MayServe reports whether requests with a key may be served with a proof of the given age.
+func (p Policy) MayServe(age time.Duration) bool {
 	return p.Revocation == 0 || age < p.maxServingAge()
 }
 
@@ -38,9 +38,9 @@
 	return p.Revocation == 0 || age < p.maxReadyAge()
 }
 
-// Wait returns the duration of a watch request. While one is pending, the latest proof dates from
+// WatchTimeout returns the duration of a watch request. While one is pending, the latest proof dates from
 // the start of the request before it, so a proof becomes as old as two requests last.
-func (p Policy) Wait() time.Duration {
+func (p Policy) WatchTimeout() time.Duration {
 	if p.Revocation == 0 {
 		return maxWait
 	}
@@ -48,9 +48,9 @@
 	return min(max(oldest/2, minWait), maxWait)
 }
 
-// LateIn returns the time until a proof of the given age is late, if calls to the store succeed.
-func (p Policy) LateIn(age time.Duration) time.Duration {
-	return 2*p.Wait() + sendMargin - age
+// TimeUntilLate returns the time until a proof of the given age is late, if calls to the store succeed.
+func (p Policy) TimeUntilLate(age time.Duration) time.Duration {
+	return 2*p.WatchTimeout() + sendMargin - age
 }
 
 // Late reports whether a proof is older than in normal operation, in which the store answers each
@@ -58,9 +58,9 @@
 // earlier.
 func (p Policy) Late(age time.Duration, failing bool) bool {
 	if failing {
-		age += p.Wait()
+		age += p.WatchTimeout()
 	}
-	return p.LateIn(age) < 0
+	return p.TimeUntilLate(age) < 0
 }
 
 func (p Policy) maxServingAge() time.Duration {
--- a/decide/freshness/freshness_test.go
+++ b/decide/freshness/freshness_test.go
@@ -11,12 +11,12 @@
 
 func TestPolicy(t *testing.T) {
 	p := freshness.Policy{Revocation: 5 * time.Second}
-	require.True(t, p.Serves(3600*time.Millisecond))
-	require.False(t, p.Serves(3700*time.Millisecond))
+	require.True(t, p.MayServe(3600*time.Millisecond))
+	require.False(t, p.MayServe(3700*time.Millisecond))
 	require.True(t, p.Ready(2900*time.Millisecond))
 	require.False(t, p.Ready(3*time.Second))
 	var none freshness.Policy
-	require.True(t, none.Serves(time.Hour))
+	require.True(t, none.MayServe(time.Hour))
 	require.True(t, none.Ready(time.Hour))
 }
 
@@ -25,12 +25,12 @@
 func TestLateness(t *testing.T) {
 	for bound := 4 * time.Second; bound < 30*time.Second; bound += 100 * time.Millisecond {
 		p := freshness.Policy{Revocation: bound}
-		require.False(t, p.Late(2*p.Wait(), false), bound)
-		require.False(t, p.Late(p.Wait(), true), bound)
-		late := 2*p.Wait() + time.Second
+		require.False(t, p.Late(2*p.WatchTimeout(), false), bound)
+		require.False(t, p.Late(p.WatchTimeout(), true), bound)
+		late := 2*p.WatchTimeout() + time.Second
 		require.True(t, p.Late(late, false), bound)
-		require.True(t, p.Late(late-p.Wait(), true), bound)
-		require.True(t, p.Serves(late-500*time.Millisecond), bound)
+		require.True(t, p.Late(late-p.WatchTimeout(), true), bound)
+		require.True(t, p.MayServe(late-500*time.Millisecond), bound)
 	}
 }
 
@@ -39,8 +39,8 @@
 func TestTwoWatchRequestsFitTheBound(t *testing.T) {
 	for bound := 2 * time.Second; bound < 30*time.Second; bound += 100 * time.Millisecond {
 		p := freshness.Policy{Revocation: bound}
-		oldest := 2 * p.Wait()
-		require.True(t, p.Serves(oldest), bound)
+		oldest := 2 * p.WatchTimeout()
+		require.True(t, p.MayServe(oldest), bound)
 		require.True(t, p.Ready(oldest), bound)
 	}
 }
--- a/decide/health/health.go
+++ b/decide/health/health.go
@@ -25,8 +25,8 @@
 // Record is the health of an endpoint. It is immutable; the zero Record is that of an endpoint
 // without faults.
 type Record struct {
-	// Failing is the share of recent requests that failed, from 0 to 1.
-	Failing float64
+	// FailureRate is the share of recent requests that failed, from 0 to 1.
+	FailureRate float64
 	// losses counts consecutive failures to reach the endpoint.
 	losses streak
 	// drops counts consecutive requests that the endpoint accepted without answering. Only an
@@ -53,7 +53,7 @@
 
 // WithSuccess returns the record after a request succeeded.
 func (r Record) WithSuccess() Record {
-	return Record{Failing: r.Failing * (1 - failureWeight), drops: r.drops}
+	return Record{FailureRate: r.FailureRate * (1 - failureWeight), drops: r.drops}
 }
 
 // WithAnswer returns the record after the endpoint began to answer a request.
@@ -75,7 +75,7 @@
 
 // WithFailure returns the record after the endpoint failed a request.
 func (r Record) WithFailure() Record {
-	r.Failing += failureWeight * (1 - r.Failing)
+	r.FailureRate += failureWeight * (1 - r.FailureRate)
 	return r
 }
 
--- a/decide/health/health_test.go
+++ b/decide/health/health_test.go
@@ -28,11 +28,11 @@
 	for range 100 {
 		r = r.WithFailure()
 	}
-	require.InDelta(t, 1, r.Failing, 0.01)
+	require.InDelta(t, 1, r.FailureRate, 0.01)
 	for range 10 {
 		r = r.WithSuccess()
 	}
-	require.Less(t, r.Failing, 0.4)
+	require.Less(t, r.FailureRate, 0.4)
 }
 
 // An endpoint that accepts requests without answering must be avoided from the third consecutive
--- a/decide/holding/holding.go
+++ b/decide/holding/holding.go
@@ -8,16 +8,16 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// Holding is an endpoint's report of layers that differ from its record: the endpoint has
+// Report is an endpoint's report of layers that differ from its record: the endpoint has
 // restarted, or the record is stale. It is immutable.
-type Holding struct {
-	// Held is the reported range, Recorded the range in the record at the time of the report.
-	Held, Recorded layer.Range
-	At             time.Time
+type Report struct {
+	// Reported is the reported range, Recorded the range in the record at the time of the report.
+	Reported, Recorded layer.Range
+	At                 time.Time
 }
 
-// Counts reports whether the report takes precedence at now over a record of the given range:
+// Overrides reports whether the report takes precedence at now over a record of the given range:
 // until the record changes, but no longer than lag, by which a record may be late.
-func (h Holding) Counts(recorded layer.Range, now time.Time, lag time.Duration) bool {
+func (h Report) Overrides(recorded layer.Range, now time.Time, lag time.Duration) bool {
 	return h.Recorded == recorded && now.Sub(h.At) <= lag
 }
--- a/decide/isolation/plan.go
+++ b/decide/isolation/plan.go
@@ -42,8 +42,8 @@
 	return p
 }
 
-// Of returns the endpoint of a suspect, and false while it has none.
-func (p Plan) Of(f fingerprint.Fingerprint) (string, bool) {
+// Endpoint returns the endpoint of a suspect, and false while it has none.
+func (p Plan) Endpoint(f fingerprint.Fingerprint) (string, bool) {
 	endpoint, ok := p.assigned[f]
 	return endpoint, ok
 }
--- a/decide/isolation/plan_test.go
+++ b/decide/isolation/plan_test.go
@@ -21,8 +21,8 @@
 		p, same := isolation.New(suspects, names), isolation.New([]fingerprint.Fingerprint{1, 3, 5, 7, 9}, names)
 		used := make(map[string]bool)
 		for _, f := range suspects {
-			endpoint, ok := p.Of(f)
-			other, also := same.Of(f)
+			endpoint, ok := p.Endpoint(f)
+			other, also := same.Endpoint(f)
 			require.Equal(t, ok, also)
 			require.Equal(t, endpoint, other)
 			if ok {
--- a/decide/isolation/spared.go
+++ b/decide/isolation/spared.go
@@ -10,11 +10,11 @@
 	Layers layer.Range
 }
 
-// Spared returns the endpoints at which a chain can start and whose loss leaves no layers
+// Expendable returns the endpoints at which a chain can start and whose loss leaves no layers
 // uncovered: those whose layers are all held by other endpoints of their hall as well. If there
 // are none, it returns those whose layers are all held by other endpoints of any hall. Without the
 // only holder of a layer no request could be served.
-func Spared(holders []Holder) []string {
+func Expendable(holders []Holder) []string {
 	halls, all := make(map[string]counts), counts{}
 	for _, h := range holders {
 		if halls[h.Hall] == nil {
--- a/decide/limit/learned.go
+++ b/decide/limit/learned.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Learned is an adaptive limit on open sessions: the largest number that keeps the duration of a
+// Adaptive is an adaptive limit on open sessions: the largest number that keeps the duration of a
 // step, including its wait, at the target. By Little's law that duration is proportional to the
 // number of sessions, so each observed step yields an estimate, and the limit is their running
 // mean. It is an immutable value: the With methods return changed copies.
-type Learned struct {
+type Adaptive struct {
 	// Min and Max bound the limit; 1 <= Min <= Max.
 	Min, Max int
 
@@ -21,7 +21,7 @@
 const weight = 0.05
 
 // Value returns the current limit, Min without observations.
-func (l Learned) Value() int {
+func (l Adaptive) Value() int {
 	if l.value == 0 {
 		return l.Min
 	}
@@ -30,7 +30,7 @@
 
 // WithStep returns the limit after a step that took the given time, including its wait, with the
 // given number of open sessions. The target is the desired duration of a step.
-func (l Learned) WithStep(took, target time.Duration, sessions int) Learned {
+func (l Adaptive) WithStep(took, target time.Duration, sessions int) Adaptive {
 	if took <= 0 {
 		return l
 	}
@@ -43,6 +43,6 @@
 }
 
 // clamp returns v limited to the range from Min to Max.
-func (l Learned) clamp(v float64) float64 {
+func (l Adaptive) clamp(v float64) float64 {
 	return min(max(v, float64(l.Min)), float64(l.Max))
 }
--- a/decide/limit/learned_test.go
+++ b/decide/limit/learned_test.go
@@ -13,7 +13,7 @@
 
 // learn updates l with the steps of an endpoint whose step time is proportional to the number of
 // sessions, which the limit bounds.
-func learn(l limit.Learned, perSession time.Duration, demand, steps int) limit.Learned {
+func learn(l limit.Adaptive, perSession time.Duration, demand, steps int) limit.Adaptive {
 	for range steps {
 		sessions := min(l.Value(), demand)
 		l = l.WithStep(time.Duration(sessions)*perSession, target, sessions)
@@ -22,7 +22,7 @@
 }
 
 func TestLearned(t *testing.T) {
-	l := limit.Learned{Min: 2, Max: 64}
+	l := limit.Adaptive{Min: 2, Max: 64}
 	require.Equal(t, 2, l.Value(), "no observations")
 	l = learn(l, time.Millisecond, 1000, 500)
 	require.Equal(t, 30, l.Value(), "as many sessions as meet the target")
--- a/decide/member/set.go
+++ b/decide/member/set.go
@@ -12,9 +12,9 @@
 
 // Set is a set of known entries. The zero Set is empty. It is not safe for concurrent use.
 type Set struct {
-	// Keep is how long an entry that is not on the platform's list stays known after it was
+	// Retention is how long an entry that is not on the platform's list stays known after it was
 	// last heard of.
-	Keep time.Duration
+	Retention time.Duration
 
 	state  map[string]*state
 	all    []*wire.Peer // sorted by address; replaced, never modified
@@ -31,8 +31,8 @@
 	heard         time.Time
 }
 
-// Listed records the platform's list. An empty list carries no information and is ignored.
-func (s *Set) Listed(now time.Time, peers []*wire.Peer) {
+// SetListed records the platform's list. An empty list carries no information and is ignored.
+func (s *Set) SetListed(now time.Time, peers []*wire.Peer) {
 	if len(peers) == 0 {
 		return
 	}
@@ -47,8 +47,8 @@
 	s.rebuild()
 }
 
-// Heard records a message from an entry itself.
-func (s *Set) Heard(now time.Time, p *wire.Peer) {
+// RecordDirect records a message from an entry itself.
+func (s *Set) RecordDirect(now time.Time, p *wire.Peer) {
 	k := s.add(p)
 	first := !k.heardDirectly
 	k.heardDirectly = true
@@ -58,10 +58,10 @@
 	}
 }
 
-// Told records an entry reported by another one. Shared leaves the entry out until a message
+// RecordReported records an entry reported by another one. Shared leaves the entry out until a message
 // comes from the entry itself: otherwise two processes could keep a dead entry alive by
 // reporting it to each other.
-func (s *Set) Told(now time.Time, p *wire.Peer) {
+func (s *Set) RecordReported(now time.Time, p *wire.Peer) {
 	if _, old := s.state[p.GetAddress()]; old {
 		return
 	}
@@ -74,7 +74,7 @@
 func (s *Set) Expire(now time.Time) {
 	changed := false
 	for address, k := range s.state {
-		if !k.listed && now.Sub(k.heard) > s.Keep {
+		if !k.listed && now.Sub(k.heard) > s.Retention {
 			delete(s.state, address)
 			changed = true
 		}
--- a/decide/member/set_test.go
+++ b/decide/member/set_test.go
@@ -26,34 +26,34 @@
 
 func TestListedHeardAndReportedEntries(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := member.Set{Keep: keep}
-	s.Listed(now, []*wire.Peer{peer("b"), peer("a")})
+	s := member.Set{Retention: keep}
+	s.SetListed(now, []*wire.Peer{peer("b"), peer("a")})
 	require.Equal(t, []string{"a", "b"}, addresses(s.All()))
-	s.Heard(now, peer("c"))
-	s.Told(now, peer("d"))
+	s.RecordDirect(now, peer("c"))
+	s.RecordReported(now, peer("d"))
 	require.Equal(t, []string{"a", "b", "c", "d"}, addresses(s.All()))
 	require.Equal(t, []string{"a", "b", "c"}, addresses(s.Shared()))
-	s.Listed(now, nil)
+	s.SetListed(now, nil)
 	require.Len(t, s.All(), 4, "an empty list changes nothing")
 	later := now.Add(keep + time.Second)
-	s.Heard(later, peer("c"))
+	s.RecordDirect(later, peer("c"))
 	s.Expire(later)
 	require.Equal(t, []string{"a", "b", "c"}, addresses(s.All()))
-	s.Listed(later, []*wire.Peer{peer("a")})
+	s.SetListed(later, []*wire.Peer{peer("a")})
 	require.Equal(t, []string{"a", "c"}, addresses(s.All()))
 }
 
 // Two processes that report a dead entry to each other still expire it.
 func TestReportsDoNotKeepADeadEntryAlive(t *testing.T) {
 	now := time.Unix(1000, 0)
-	x, y := member.Set{Keep: keep}, member.Set{Keep: keep}
-	x.Heard(now, peer("dead"))
+	x, y := member.Set{Retention: keep}, member.Set{Retention: keep}
+	x.RecordDirect(now, peer("dead"))
 	for range 10 {
 		for _, p := range x.Shared() {
-			y.Told(now, p)
+			y.RecordReported(now, p)
 		}
 		for _, p := range y.Shared() {
-			x.Told(now, p)
+			x.RecordReported(now, p)
 		}
 		now = now.Add(keep / 2)
 		x.Expire(now)
--- a/decide/once/table.go
+++ b/decide/once/table.go
@@ -71,19 +71,19 @@
 	at  time.Time
 }
 
-// Now returns the epoch at the given time.
-func (t *Table[R]) Now(now time.Time) uint64 {
+// EpochAt returns the epoch at the given time.
+func (t *Table[R]) EpochAt(now time.Time) uint64 {
 	return uint64(now.Sub(t.Start) / t.Epoch)
 }
 
 // late reports whether a call with a claim of an epoch may no longer start.
 func (t *Table[R]) late(now time.Time, epoch uint64) bool {
-	return t.Now(now) > epoch+startWindow
+	return t.EpochAt(now) > epoch+startWindow
 }
 
 // forgotten reports whether the table may have dropped the key of a call that ran.
 func (t *Table[R]) forgotten(now time.Time, epoch uint64) bool {
-	return t.Now(now) >= epoch+uint64(t.Keep/t.Epoch)
+	return t.EpochAt(now) >= epoch+uint64(t.Keep/t.Epoch)
 }
 
 // Begin decides whether the call of a ticket may start. Once a call of the key has started, the
@@ -113,8 +113,8 @@
 	t.end(now, key, Finished, reply)
 }
 
-// Lose records that a started call ended with an unknown result.
-func (t *Table[R]) Lose(now time.Time, key Key, reply R) {
+// FinishLost records that a started call ended with an unknown result.
+func (t *Table[R]) FinishLost(now time.Time, key Key, reply R) {
 	t.end(now, key, Lost, reply)
 }
 
--- a/decide/once/table_test.go
+++ b/decide/once/table_test.go
@@ -76,10 +76,10 @@
 	require.Equal(t, once.Start, table.Begin(start, ticket(1, "a", 0)))
 	require.Equal(t, once.Full, table.Begin(start, ticket(2, "b", 0)))
 	require.Equal(t, once.Full, table.Settle(start, ticket(2, "b", 0)))
-	table.Lose(start, once.Key{1}, "")
+	table.FinishLost(start, once.Key{1}, "")
 	require.Equal(t, once.Lost, table.Begin(start, ticket(1, "c", 0)))
 	later := start.Add(keep + epoch)
-	require.Equal(t, once.Start, table.Begin(later, ticket(2, "b", table.Now(later))))
+	require.Equal(t, once.Start, table.Begin(later, ticket(2, "b", table.EpochAt(later))))
 }
 
 // A call that runs for longer than keys are held must not be dropped.
--- a/decide/order/fence.go
+++ b/decide/order/fence.go
@@ -15,15 +15,15 @@
 
 // StaleError is the refusal of an outdated order.
 type StaleError struct {
-	// What is the outdated value: "term" or "incarnation".
-	What string
+	// Value is the outdated value: "term" or "incarnation".
+	Value string
 	// Got is the order's value, Have the agent's.
 	Got, Have uint64
 }
 
 // Error returns the outdated value and the one in force.
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("order of %s %d refused, %d is in force", e.What, e.Got, e.Have)
+	return fmt.Sprintf("order of %s %d refused, %d is in force", e.Value, e.Got, e.Have)
 }
 
 // WithOrder returns the fence after an order. It returns a StaleError and the unchanged fence if
--- a/decide/order/fence_test.go
+++ b/decide/order/fence_test.go
@@ -34,7 +34,7 @@
 				return
 			}
 			require.True(t, errors.As(err, &stale))
-			require.Equal(t, c.stale, stale.What)
+			require.Equal(t, c.stale, stale.Value)
 			require.Equal(t, f, next)
 		})
 	}
--- a/decide/overlay/overlay.go
+++ b/decide/overlay/overlay.go
@@ -26,11 +26,11 @@
 	Address string
 	// Hall is its data hall.
 	Hall string
-	// Heard is set while digests arrive from the gateway itself, and not only reports of it by
+	// HeardDirectly is set while digests arrive from the gateway itself, and not only reports of it by
 	// others.
-	Heard bool
-	// Cut is set while the store does not answer the gateway, according to its own last report.
-	Cut bool
+	HeardDirectly bool
+	// StoreUnreachable is set while the store does not answer the gateway, according to its own last report.
+	StoreUnreachable bool
 	// LinkMegabits is the link capacity of the gateway's host in Mbit/s, 0 when unknown.
 	LinkMegabits uint32
 }
@@ -56,16 +56,16 @@
 	return o.Size() <= cmp.Or(o.FlatUpTo, FlatSize)
 }
 
-// Audience returns the gateways to which this one reports its use of endpoints.
-func (o Overlay) Audience() []Member {
+// DigestPeers returns the gateways to which this one reports its use of endpoints.
+func (o Overlay) DigestPeers() []Member {
 	if o.Flat() {
 		return o.Others
 	}
-	return o.In(o.Self.Hall)
+	return o.PeersIn(o.Self.Hall)
 }
 
-// In returns the other gateways of a hall.
-func (o Overlay) In(hall string) []Member {
+// PeersIn returns the other gateways of a hall.
+func (o Overlay) PeersIn(hall string) []Member {
 	var list []Member
 	for _, m := range o.Others {
 		if m.Hall == hall {
@@ -75,11 +75,11 @@
 	return list
 }
 
-// Trusting returns a copy of o in which all gateways of this one's hall count as heard.
-func (o Overlay) Trusting() Overlay {
+// AssumeHallHeard returns a copy of o in which all gateways of this one's hall count as heard.
+func (o Overlay) AssumeHallHeard() Overlay {
 	o.Others = slices.Clone(o.Others)
 	for i := range o.Others {
-		o.Others[i].Heard = o.Others[i].Heard || o.Others[i].Hall == o.Self.Hall
+		o.Others[i].HeardDirectly = o.Others[i].HeardDirectly || o.Others[i].Hall == o.Self.Hall
 	}
 	return o
 }
@@ -96,19 +96,19 @@
 	return slices.Compact(list)
 }
 
-// Delegate reports whether this gateway sends its hall's sums to the other halls.
-func (o Overlay) Delegate() bool {
+// IsDelegate reports whether this gateway sends its hall's sums to the other halls.
+func (o Overlay) IsDelegate() bool {
 	return !o.Flat() && o.linkRank(o.Self.Hall, o.live(o.Self.Hall)) == 0
 }
 
 // live returns the other gateways of a hall that run, as far as this gateway can tell. Unless
 // the fleet is flat it gets no digests from gateways of other halls, so all of those count.
 func (o Overlay) live(hall string) []Member {
-	list := o.In(hall)
+	list := o.PeersIn(hall)
 	if hall != o.Self.Hall && !o.Flat() {
 		return list
 	}
-	return slices.DeleteFunc(list, func(m Member) bool { return !m.Heard })
+	return slices.DeleteFunc(list, func(m Member) bool { return !m.HeardDirectly })
 }
 
 // relaysPerHall is the number of gateways of a hall that take turns in passing on the sums of
@@ -120,7 +120,7 @@
 // round. The relays differ from one sending hall to the next, so that none does all the work.
 // The hall must have a gateway.
 func (o Overlay) Relay(hall string, round int) Member {
-	list := ranking(o.Self.Hall, o.In(hall))
+	list := ranking(o.Self.Hall, o.PeersIn(hall))
 	return list[round%min(relaysPerHall, len(list))]
 }
 
@@ -137,24 +137,24 @@
 // storeKey is the rendezvous key that ranks gateways for asking the store.
 const storeKey = "store"
 
-// Seats returns the gateways of this one's hall that ask the store for changes, so that this one
+// StoreReaders returns the gateways of this one's hall that ask the store for changes, so that this one
 // asks them instead of the store. It returns none when this one must ask the store itself. Half of
 // a hall's gateways get them in reverse order, which spreads the load.
-func (o Overlay) Seats() []Member {
+func (o Overlay) StoreReaders() []Member {
 	list, rank := o.storeRanking()
 	if rank < storeReaderCount {
 		return nil
 	}
 	list = list[:min(storeReaderCount, len(list))]
-	if rendezvous.Before(storeKey, o.Self.Name, namesOf(o.live(o.Self.Hall)))%2 == 1 {
+	if rendezvous.Rank(storeKey, o.Self.Name, namesOf(o.live(o.Self.Hall)))%2 == 1 {
 		slices.Reverse(list)
 	}
 	return list
 }
 
-// Standbys returns the gateways of this one's hall that ask the store while those of Seats have
+// StandbyStoreReaders returns the gateways of this one's hall that ask the store while those of Seats have
 // no answer, and reports whether this one is among them.
-func (o Overlay) Standbys() (list []Member, self bool) {
+func (o Overlay) StandbyStoreReaders() (list []Member, self bool) {
 	list, rank := o.storeRanking()
 	if rank < storeReaderCount+standbyCount {
 		return nil, rank >= storeReaderCount
@@ -171,11 +171,11 @@
 		return nil, 0
 	}
 	live := o.live(o.Self.Hall)
-	connected := slices.DeleteFunc(slices.Clone(live), func(m Member) bool { return m.Cut })
-	if o.Self.Cut && len(connected) > 0 {
+	connected := slices.DeleteFunc(slices.Clone(live), func(m Member) bool { return m.StoreUnreachable })
+	if o.Self.StoreUnreachable && len(connected) > 0 {
 		return ranking(storeKey, connected), storeReaderCount + standbyCount
 	}
-	if len(connected) == 0 && o.Self.Cut { // the store is down: rank all, or all would ask it once it is back
+	if len(connected) == 0 && o.Self.StoreUnreachable { // the store is down: rank all, or all would ask it once it is back
 		connected = live
 	}
 	list := ranking(storeKey, append(connected, o.Self))
@@ -188,9 +188,9 @@
 	return slices.IndexFunc(list, func(m Member) bool { return m.Name == o.Self.Name })
 }
 
-// Rank returns the number of gateways that are responsible before this one for an item of a hall,
+// ItemRank returns the number of gateways that are responsible before this one for an item of a hall,
 // such as an endpoint. The gateways of that hall come first.
-func (o Overlay) Rank(key, hall string) int {
+func (o Overlay) ItemRank(key, hall string) int {
 	inHall := o.live(hall)
 	if hall == o.Self.Hall {
 		return o.keyRank(key, inHall)
@@ -198,23 +198,23 @@
 	return len(inHall) + o.keyRank(key, o.outside(hall))
 }
 
-// Turn returns the number of gateways before this one in doing work for the whole fleet. It
+// FleetRank returns the number of gateways before this one in doing work for the whole fleet. It
 // leaves out those that this gateway knows to have ended.
-func (o Overlay) Turn(key string) int {
+func (o Overlay) FleetRank(key string) int {
 	return o.linkRank(key, append(o.live(o.Self.Hall), o.outside(o.Self.Hall)...))
 }
 
 // cleanKey is the rendezvous key that ranks gateways for cleaning up after ended gateways.
 const cleanKey = "clean"
 
-// Cleans reports whether this gateway cleans up after another one that has ended. The delegate
+// CleansUpAfter reports whether this gateway cleans up after another one that has ended. The delegate
 // of the ended gateway's hall does so; where the fleet is flat, or no gateway of that hall
 // remains, one of the fleet does.
-func (o Overlay) Cleans(ended Member) bool {
-	if !o.Flat() && (ended.Hall == o.Self.Hall || len(o.In(ended.Hall)) > 0) {
-		return ended.Hall == o.Self.Hall && o.Delegate()
+func (o Overlay) CleansUpAfter(ended Member) bool {
+	if !o.Flat() && (ended.Hall == o.Self.Hall || len(o.PeersIn(ended.Hall)) > 0) {
+		return ended.Hall == o.Self.Hall && o.IsDelegate()
 	}
-	return o.Turn(cleanKey) == 0
+	return o.FleetRank(cleanKey) == 0
 }
 
 // keeperCount is the number of gateways that keep count of one key: some may have ended unnoticed
@@ -253,7 +253,7 @@
 // keyRank returns the number of others before this gateway in the rendezvous order for a key
 // alone.
 func (o Overlay) keyRank(key string, others []Member) int {
-	return rendezvous.Before(key, o.Self.Name, namesOf(others))
+	return rendezvous.Rank(key, o.Self.Name, namesOf(others))
 }
 
 // namesOf returns the names of gateways, in the same order.
--- a/decide/overlay/overlay_test.go
+++ b/decide/overlay/overlay_test.go
@@ -17,7 +17,7 @@
 	for h := range halls {
 		for i := range each {
 			list = append(list, overlay.Member{
-				Name: fmt.Sprintf("gateway-%d-%d", h, i), Hall: fmt.Sprint("hall-", h), Heard: true,
+				Name: fmt.Sprintf("gateway-%d-%d", h, i), Hall: fmt.Sprint("hall-", h), HeardDirectly: true,
 			})
 		}
 	}
@@ -30,7 +30,7 @@
 	for i, self := range all {
 		o := overlay.Overlay{Self: self}
 		for j, other := range all {
-			other.Heard = other.Hall == self.Hall
+			other.HeardDirectly = other.Hall == self.Hall
 			if i != j {
 				o.Others = append(o.Others, other)
 			}
@@ -43,12 +43,12 @@
 func TestSmallFleetIsFlat(t *testing.T) {
 	for _, o := range views(fleet(3, 4)) {
 		require.True(t, o.Flat())
-		require.Len(t, o.Audience(), 11)
-		require.False(t, o.Delegate())
-		require.Empty(t, o.Seats())
+		require.Len(t, o.DigestPeers(), 11)
+		require.False(t, o.IsDelegate())
+		require.Empty(t, o.StoreReaders())
 		o.FlatUpTo = 11
 		require.False(t, o.Flat())
-		require.Len(t, o.Audience(), 3)
+		require.Len(t, o.DigestPeers(), 3)
 	}
 }
 
@@ -56,9 +56,9 @@
 func TestLargeFleetReportsByHall(t *testing.T) {
 	delegates := make(map[string]int)
 	for _, o := range views(fleet(5, 14)) {
-		require.Len(t, o.Audience(), 13)
+		require.Len(t, o.DigestPeers(), 13)
 		require.Len(t, o.Halls(), 4)
-		if o.Delegate() {
+		if o.IsDelegate() {
 			delegates[o.Self.Hall]++
 		}
 	}
@@ -94,7 +94,7 @@
 		key, hall := fmt.Sprint("endpoint-", i), fmt.Sprint("hall-", i%5)
 		inHall := make(map[int]bool)
 		for _, o := range all {
-			rank := o.Rank(key, hall)
+			rank := o.ItemRank(key, hall)
 			if o.Self.Hall == hall {
 				require.Less(t, rank, 14)
 				inHall[rank] = true
@@ -110,7 +110,7 @@
 func TestFleetRanks(t *testing.T) {
 	ranks := make(map[int]bool)
 	for _, o := range views(fleet(5, 14)) {
-		ranks[o.Turn("orders")] = true
+		ranks[o.FleetRank("orders")] = true
 	}
 	require.Len(t, ranks, 70)
 	require.True(t, ranks[0])
@@ -120,11 +120,11 @@
 func TestEndedGatewaysAreNotRanked(t *testing.T) {
 	for _, o := range views(fleet(5, 4)) {
 		for i := range o.Others {
-			o.Others[i].Heard = false
+			o.Others[i].HeardDirectly = false
 		}
-		require.True(t, o.Delegate())
-		require.Zero(t, o.Rank("endpoint", o.Self.Hall))
-		require.Empty(t, o.Seats())
+		require.True(t, o.IsDelegate())
+		require.Zero(t, o.ItemRank("endpoint", o.Self.Hall))
+		require.Empty(t, o.StoreReaders())
 	}
 }
 
@@ -134,7 +134,7 @@
 	first := make(map[string]int)
 	direct := make(map[string][]string)
 	for _, o := range views(fleet(5, 14)) {
-		list := o.Seats()
+		list := o.StoreReaders()
 		if len(list) == 0 {
 			direct[o.Self.Hall] = append(direct[o.Self.Hall], o.Self.Name)
 			continue
@@ -151,14 +151,14 @@
 	}
 	all := fleet(5, 14)
 	for i := range all {
-		all[i].Cut = all[i].Name == direct[all[i].Hall][0]
+		all[i].StoreUnreachable = all[i].Name == direct[all[i].Hall][0]
 	}
 	for _, o := range views(all) {
-		if list := o.Seats(); o.Self.Cut {
+		if list := o.StoreReaders(); o.Self.StoreUnreachable {
 			require.Len(t, list, 2)
 		} else {
 			for _, m := range list {
-				require.False(t, m.Cut)
+				require.False(t, m.StoreUnreachable)
 			}
 		}
 	}
@@ -169,11 +169,11 @@
 func TestStoreReadersDuringAnOutage(t *testing.T) {
 	all := fleet(5, 4)
 	for i := range all {
-		all[i].Cut = true
+		all[i].StoreUnreachable = true
 	}
 	direct := make(map[string]int)
 	for _, o := range views(all) {
-		if len(o.Seats()) == 0 {
+		if len(o.StoreReaders()) == 0 {
 			direct[o.Self.Hall]++
 		}
 	}
@@ -181,9 +181,9 @@
 	for hall, n := range direct {
 		require.Equal(t, 2, n, hall)
 	}
-	all[0].Cut = false
+	all[0].StoreUnreachable = false
 	for _, o := range views(all)[:4] {
-		if list := o.Seats(); o.Self.Cut {
+		if list := o.StoreReaders(); o.Self.StoreUnreachable {
 			require.Equal(t, all[0].Name, list[0].Name)
 		} else {
 			require.Empty(t, list)
@@ -235,12 +235,12 @@
 		slow := func(m overlay.Member) bool { return m.LinkMegabits < 1000 }
 		readers := 0
 		for _, o := range views(all) {
-			if len(o.Seats()) == 0 {
+			if len(o.StoreReaders()) == 0 {
 				readers++
 				require.False(t, slow(o.Self))
 			}
-			require.False(t, o.Delegate() && slow(o.Self))
-			require.False(t, o.Turn("orders") == 0 && slow(o.Self))
+			require.False(t, o.IsDelegate() && slow(o.Self))
+			require.False(t, o.FleetRank("orders") == 0 && slow(o.Self))
 			for _, hall := range o.Halls() {
 				require.False(t, slow(o.Relay(hall, 1)) || slow(o.Relay(hall, 2)) || slow(o.Relay(hall, 3)))
 			}
@@ -254,7 +254,7 @@
 	t.Parallel()
 	readers := make(map[bool]int)
 	for _, o := range views(mixedLinks(5, 1, 19)) {
-		if len(o.Seats()) == 0 {
+		if len(o.StoreReaders()) == 0 {
 			readers[o.Self.LinkMegabits == 1000]++
 		}
 	}
@@ -268,12 +268,12 @@
 	t.Parallel()
 	standbys, asked := make(map[string][]string), make(map[string]map[string]bool)
 	for _, o := range views(fleet(5, 14)) {
-		list, self := o.Standbys()
+		list, self := o.StandbyStoreReaders()
 		if self {
 			standbys[o.Self.Hall] = append(standbys[o.Self.Hall], o.Self.Name)
-			require.Len(t, o.Seats(), 2)
+			require.Len(t, o.StoreReaders(), 2)
 		}
-		require.Equal(t, self || len(o.Seats()) == 0, len(list) == 0)
+		require.Equal(t, self || len(o.StoreReaders()) == 0, len(list) == 0)
 		for _, m := range list {
 			if asked[m.Hall] == nil {
 				asked[m.Hall] = make(map[string]bool)
@@ -287,8 +287,8 @@
 	}
 	require.Len(t, standbys, 5)
 	for _, o := range views(fleet(5, 3)) {
-		_, self := o.Standbys()
-		require.Equal(t, len(o.Seats()) > 0, self)
+		_, self := o.StandbyStoreReaders()
+		require.Equal(t, len(o.StoreReaders()) > 0, self)
 	}
 }
 
@@ -300,7 +300,7 @@
 		for fast := 1; fast <= 4; fast++ {
 			selected, direct := make(map[string]bool), make(map[string]bool)
 			for _, o := range views(mixedLinks(2, fast, each)) {
-				list := o.Seats()
+				list := o.StoreReaders()
 				if len(list) == 0 {
 					direct[o.Self.Name] = true
 				}
--- a/decide/patience/learned.go
+++ b/decide/patience/learned.go
@@ -17,9 +17,9 @@
 	margin = 0.02
 )
 
-// Learned estimates the time that new callers have left, as a fraction of their route's timeout.
-// The zero Learned holds no data. It is an immutable value.
-type Learned struct {
+// Estimate estimates the time that new callers have left, as a fraction of their route's timeout.
+// The zero Estimate holds no data. It is an immutable value.
+type Estimate struct {
 	// shares is a ring of the latest callers' fractions.
 	shares [window]float32
 	// seen is the number of callers recorded.
@@ -27,14 +27,14 @@
 }
 
 // WithShare returns the estimate after a new caller with the given fraction of time left.
-func (l Learned) WithShare(share float64) Learned {
+func (l Estimate) WithShare(share float64) Estimate {
 	l.shares[l.seen%window] = float32(share)
 	l.seen++
 	return l
 }
 
-// Least returns the lowest fraction that new callers usually have left, 1 without data.
-func (l Learned) Least() float64 {
+// Min returns the lowest fraction that new callers usually have left, 1 without data.
+func (l Estimate) Min() float64 {
 	n := min(l.seen, window)
 	if n == 0 {
 		return 1
@@ -44,7 +44,7 @@
 	return float64(sorted[int(outlierShare*float64(n))])
 }
 
-// Returned reports whether a caller with the given fraction of time left is a returning one.
-func (l Learned) Returned(share float64) bool {
-	return share < l.Least()-margin
+// IsReturning reports whether a caller with the given fraction of time left is a returning one.
+func (l Estimate) IsReturning(share float64) bool {
+	return share < l.Min()-margin
 }
--- a/decide/rendezvous/ranking.go
+++ b/decide/rendezvous/ranking.go
@@ -32,8 +32,8 @@
 	return top
 }
 
-// Before returns the number of nodes that come before node in the ranking for key.
-func Before(key, node string, nodes []string) int {
+// Rank returns the number of nodes that come before node in the ranking for key.
+func Rank(key, node string, nodes []string) int {
 	own := score(key, node)
 	n := 0
 	for _, other := range nodes {
--- a/decide/reread/reread.go
+++ b/decide/reread/reread.go
@@ -10,34 +10,34 @@
 // prompt again.
 const minSpeedup = 2
 
-// Part is an endpoint that has to read the prompt.
-type Part struct {
-	// Own is the number of this gateway's prompts that it reads, including the stream's. Others is
+// Reader is an endpoint that has to read the prompt.
+type Reader struct {
+	// OwnPrompts is the number of this gateway's prompts that it reads, including the stream's. OtherPrompts is
 	// that of the other gateways, as far as reported.
-	Own, Others float64
-	// Share is its share of the model's layers. Slow is the time its hardware takes to read a
+	OwnPrompts, OtherPrompts float64
+	// Share is its share of the model's layers. TimeFactor is the time its hardware takes to read a
 	// prompt, relative to the fastest.
-	Share, Slow float64
+	Share, TimeFactor float64
 }
 
-// Time returns how long the parts are expected to take to read a prompt that one endpoint of the
+// ReadTime returns how long the parts are expected to take to read a prompt that one endpoint of the
 // fastest kind with all layers would read in the time alone. The parts read in parallel, so the
 // slowest determines the result. The parameter fleetFactor is the number of prompts of all gateways
 // for each of this gateway's: after the loss of an endpoint all gateways move their streams before
 // their reports reach each other.
-func Time(parts []Part, alone time.Duration, fleetFactor float64) time.Duration {
+func ReadTime(parts []Reader, alone time.Duration, fleetFactor float64) time.Duration {
 	longest := 0.0
 	for _, p := range parts {
 		// The stream's own prompt stands for fleetFactor prompts, on average half of them ahead of it.
-		ahead := max((p.Own-0.5)*fleetFactor+p.Others, 0.5)
-		longest = max(longest, (0.5+ahead)*p.Share*p.Slow)
+		ahead := max((p.OwnPrompts-0.5)*fleetFactor+p.OtherPrompts, 0.5)
+		longest = max(longest, (0.5+ahead)*p.Share*p.TimeFactor)
 	}
 	return time.Duration(longest * float64(alone))
 }
 
-// Leave reports whether a stream should restart along another chain: its next event would be late
+// ShouldRestart reports whether a stream should restart along another chain: its next event would be late
 // after the time move, and would come much sooner after the time other. The parameter spare is the
 // time left for the event.
-func Leave(move, other, spare time.Duration) bool {
+func ShouldRestart(move, other, spare time.Duration) bool {
 	return move >= spare && minSpeedup*other <= move
 }
--- a/decide/retry/budget.go
+++ b/decide/retry/budget.go
@@ -27,8 +27,8 @@
 // may omit up to one bucket's time, and never covers more than the window.
 const buckets = 16
 
-// First counts a first attempt at now.
-func (b *Budget) First(now time.Time) {
+// CountFirstAttempt counts a first attempt at now.
+func (b *Budget) CountFirstAttempt(now time.Time) {
 	b.expire(now)
 	b.first[b.at%buckets]++
 }
@@ -47,8 +47,8 @@
 	return true
 }
 
-// Return takes back the latest allowed retry, which did not start.
-func (b *Budget) Return() {
+// Refund takes back the latest allowed retry, which did not start.
+func (b *Budget) Refund() {
 	if n := len(b.retries); n > 0 {
 		b.retries = b.retries[:n-1]
 	}
--- a/decide/retry/budget_test.go
+++ b/decide/retry/budget_test.go
@@ -14,7 +14,7 @@
 	b := retry.Budget{Share: 0.1, Window: time.Minute}
 	require.False(t, b.Allow(now))
 	for range 100 {
-		b.First(now)
+		b.CountFirstAttempt(now)
 	}
 	allowed := 0
 	for range 100 {
--- a/decide/route/table.go
+++ b/decide/route/table.go
@@ -21,10 +21,10 @@
 // Usage counts the open sessions of one endpoint and holds its last load report. It is safe for
 // concurrent use and outlives the tables that point to it.
 type Usage struct {
-	// Own is the number of sessions that this process has open.
-	Own atomic.Int64
-	// Others is the number of other processes' sessions, by the endpoint's last report.
-	Others atomic.Int64
+	// OwnSessions is the number of sessions that this process has open.
+	OwnSessions atomic.Int64
+	// OtherSessions is the number of other processes' sessions, by the endpoint's last report.
+	OtherSessions atomic.Int64
 	// StepNanos is the measured time of one step in nanoseconds; 0 while unknown.
 	StepNanos atomic.Int64
 	// Limit is the number of sessions that the endpoint admits; 0 while unknown.
@@ -35,15 +35,15 @@
 	Epoch atomic.Uint64
 }
 
-// Report is an endpoint's report of its own load. Zero fields are unknown.
-type Report struct {
+// LoadReport is an endpoint's report of its own load. Zero fields are unknown.
+type LoadReport struct {
 	Sessions, Limit, Batch int
 	Step                   time.Duration
 }
 
 // Report records a load report.
-func (u *Usage) Report(r Report) {
-	u.Others.Store(max(0, int64(r.Sessions)-u.Own.Load()))
+func (u *Usage) Report(r LoadReport) {
+	u.OtherSessions.Store(max(0, int64(r.Sessions)-u.OwnSessions.Load()))
 	if r.Limit > 0 {
 		u.Limit.Store(int64(r.Limit))
 	}
@@ -58,7 +58,7 @@
 // Load returns the open sessions as a fraction of the limit.
 func (u *Usage) Load() float64 {
 	limit := cmp.Or(u.Limit.Load(), defaultLimit)
-	return float64(u.Own.Load()+u.Others.Load()) / float64(limit)
+	return float64(u.OwnSessions.Load()+u.OtherSessions.Load()) / float64(limit)
 }
 
 // Candidate is an endpoint with its usage.
@@ -193,7 +193,7 @@
 func (t *Table) cost(i int) (cost float64, full bool) {
 	c := &t.Candidates[i]
 	step := float64(cmp.Or(time.Duration(c.Usage.StepNanos.Load()), c.Endpoint.StepTime, defaultStep))
-	open := c.Usage.Own.Load() + c.Usage.Others.Load()
+	open := c.Usage.OwnSessions.Load() + c.Usage.OtherSessions.Load()
 	limit := cmp.Or(c.Usage.Limit.Load(), defaultLimit)
 	if open >= limit {
 		return step + fullPenalty, true
--- a/decide/route/table_test.go
+++ b/decide/route/table_test.go
@@ -16,7 +16,7 @@
 // candidate returns an endpoint with a known step time.
 func candidate(name, hall string, first, end int, step time.Duration) route.Candidate {
 	u := new(route.Usage)
-	u.Report(route.Report{Limit: 8, Batch: 4, Step: step})
+	u.Report(route.LoadReport{Limit: 8, Batch: 4, Step: step})
 	return route.Candidate{
 		Endpoint: fleet.Endpoint{Name: name, Hall: hall, Layers: layer.Range{First: first, End: end}},
 		Usage:    u,
@@ -96,13 +96,13 @@
 
 func TestFullEndpointsComeLast(t *testing.T) {
 	full, slow := candidate("full", "x", 0, 4, time.Millisecond), candidate("slow", "x", 0, 4, time.Second)
-	full.Usage.Own.Store(8)
+	full.Usage.OwnSessions.Store(8)
 	table := route.New(4, "x", []route.Candidate{full, slow}, links)
 	choice, ok := table.Choose(1, nil)
 	require.True(t, ok)
 	require.Equal(t, []string{"slow"}, names(table, choice))
 	require.False(t, choice.Full)
-	slow.Usage.Others.Store(8)
+	slow.Usage.OtherSessions.Store(8)
 	choice, ok = table.Choose(1, nil)
 	require.True(t, ok)
 	require.True(t, choice.Full)
--- a/decide/spread/ease.go
+++ b/decide/spread/ease.go
@@ -16,14 +16,14 @@
 // unused card whose layers others hold moves to where its value is higher. Nothing moves while
 // any card of the group is still loading.
 func (cov *coverage) rebalance() (int, layer.Range, bool) {
-	if slices.ContainsFunc(cov.cards, func(c Card) bool { return c.Settled }) {
+	if slices.ContainsFunc(cov.cards, func(c Card) bool { return c.Fixed }) {
 		return 0, layer.Range{}, false
 	}
 	for i, c := range cov.cards {
-		if c.Holds.Empty() {
+		if c.Layers.Empty() {
 			continue
 		}
-		if r := cov.trim(c); r != c.Holds {
+		if r := cov.trim(c); r != c.Layers {
 			return i, r, true
 		}
 	}
@@ -38,7 +38,7 @@
 // trim returns the range of a card without layers at its ends that others hold, as far as the
 // range exceeds the planned fill.
 func (cov *coverage) trim(c Card) layer.Range {
-	r, targetLayers := c.Holds, cov.planner.targetLayers(cov.model, c)
+	r, targetLayers := c.Layers, cov.planner.targetLayers(cov.model, c)
 	for r.Len() > targetLayers {
 		switch {
 		case cov.copies[r.First] > 1:
@@ -58,8 +58,8 @@
 	c := cov.cards[i]
 	without := *cov
 	without.cards = append([]Card(nil), cov.cards...)
-	without.cards[i].Holds = layer.Range{}
+	without.cards[i].Layers = layer.Range{}
 	without.recompute()
 	r := without.rangeFor(c)
-	return r, without.value(c, r) > without.value(c, c.Holds)+minMoveGain
+	return r, without.value(c, r) > without.value(c, c.Layers)+minMoveGain
 }
--- a/decide/spread/floor.go
+++ b/decide/spread/floor.go
@@ -49,13 +49,13 @@
 	cov.copies, cov.soleHolderLen = make([]int, n), make([]int, n)
 	cov.supply, cov.fastest = make([]float64, n), make([]float64, n)
 	for _, c := range cov.cards {
-		tokenCapacity, pace := cov.tokenCapacity(c), cov.model.Cards[c.Kind].Pace
-		for l := max(c.Holds.First, 0); l < min(c.Holds.End, n); l++ {
+		tokenCapacity, pace := cov.tokenCapacity(c), cov.model.Cards[c.Kind].TokenTimeFactor
+		for l := max(c.Layers.First, 0); l < min(c.Layers.End, n); l++ {
 			cov.copies[l]++
 			cov.supply[l] += tokenCapacity
 			cov.soleHolderLen[l] = 0
 			if cov.copies[l] == 1 {
-				cov.soleHolderLen[l] = c.Holds.Len()
+				cov.soleHolderLen[l] = c.Layers.Len()
 			}
 			if cov.fastest[l] == 0 || pace < cov.fastest[l] {
 				cov.fastest[l] = pace
@@ -67,7 +67,7 @@
 // tokenCapacity returns the number of tokens for which a card has room once it holds at least
 // the planned number of layers.
 func (cov *coverage) tokenCapacity(c Card) float64 {
-	return float64(max(cov.model.Room(cov.model.Cards[c.Kind], max(c.Holds.Len(), cov.planner.targetLayers(cov.model, c))), 0))
+	return float64(max(cov.model.Room(cov.model.Cards[c.Kind], max(c.Layers.Len(), cov.planner.targetLayers(cov.model, c))), 0))
 }
 
 // admittedTokens returns the number of tokens that the request slots of the first layer's
@@ -78,7 +78,7 @@
 
 // assign gives a card another range and recomputes the coverage.
 func (cov *coverage) assign(i int, r layer.Range) {
-	cov.cards[i].Holds, cov.cards[i].Settled = r, true
+	cov.cards[i].Layers, cov.cards[i].Fixed = r, true
 	cov.recompute()
 }
 
@@ -119,7 +119,7 @@
 // layer's holders count as one more layer: without this, three halls of 59 cards got three first
 // endpoints and served 83 instead of all 272 requests per second in time.
 func (cov *coverage) value(c Card, r layer.Range) float64 {
-	pace := cov.model.Cards[c.Kind].Pace
+	pace := cov.model.Cards[c.Kind].TokenTimeFactor
 	supply, time := 0.0, 0.0
 	for l := range cov.copies {
 		supply += cov.supply[l] / float64(max(cov.copies[l], 1)) / float64(len(cov.copies))
@@ -146,7 +146,7 @@
 // so that a fast card that returns takes its layers back from the slow cards that replaced it.
 func (cov *coverage) extend(c Card, r layer.Range, size int) layer.Range {
 	slower := func(l int) bool {
-		return l >= 0 && l < cov.model.Layers && cov.fastest[l] > cov.model.Cards[c.Kind].Pace
+		return l >= 0 && l < cov.model.Layers && cov.fastest[l] > cov.model.Cards[c.Kind].TokenTimeFactor
 	}
 	for r.Len() < size {
 		switch {
--- a/decide/spread/spread.go
+++ b/decide/spread/spread.go
@@ -16,10 +16,10 @@
 	ID, Hall string
 	// Kind is the key of its catalog.Card in the model's Cards.
 	Kind string
-	// Holds is the range that the card holds or has been ordered to load.
-	Holds layer.Range
-	// Settled is set while the card must not be given another range.
-	Settled bool
+	// Layers is the range that the card holds or has been ordered to load.
+	Layers layer.Range
+	// Fixed is set while the card must not be given another range.
+	Fixed bool
 	// InUse is set while requests run on the card. Such a card moves only to cover layers that
 	// no card holds.
 	InUse bool
@@ -70,7 +70,7 @@
 func hallGroups(m *catalog.Model, cards []Card) [][]Card {
 	halls := make(map[string][]Card)
 	for _, c := range cards {
-		if c.Holds.First < 0 || c.Holds.End > m.Layers {
+		if c.Layers.First < 0 || c.Layers.End > m.Layers {
 			continue // the layers are another model's, or the record is wrong
 		}
 		halls[c.Hall] = append(halls[c.Hall], c)
@@ -89,7 +89,7 @@
 	}
 	for _, group := range list {
 		slices.SortFunc(group, func(a, b Card) int {
-			return cmp.Or(cmp.Compare(m.Cards[a.Kind].Pace, m.Cards[b.Kind].Pace), cmp.Compare(a.ID, b.ID))
+			return cmp.Or(cmp.Compare(m.Cards[a.Kind].TokenTimeFactor, m.Cards[b.Kind].TokenTimeFactor), cmp.Compare(a.ID, b.ID))
 		})
 	}
 	return list
--- a/decide/story/story.go
+++ b/decide/story/story.go
@@ -22,8 +22,8 @@
 	Fields map[string]json.RawMessage
 }
 
-// Story collects the lines relevant to one request. Set the exported fields, then Read each log.
-type Story struct {
+// Log collects the lines relevant to one request. Set the exported fields, then Read each log.
+type Log struct {
 	// Request is the ID of the request.
 	Request string
 	// Before is how far back before the request's first line the state of its gateways is relevant.
@@ -52,7 +52,7 @@
 }
 
 // Read reads a log. It skips and counts lines that are not JSON, such as those of a crash.
-func (s *Story) Read(r io.Reader) (skipped int, err error) {
+func (s *Log) Read(r io.Reader) (skipped int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
@@ -108,7 +108,7 @@
 }
 
 // add stores a line if it is relevant.
-func (s *Story) add(l Line) {
+func (s *Log) add(l Line) {
 	if l.text("request") == s.Request {
 		s.requestLines = append(s.requestLines, l)
 		return
@@ -125,7 +125,7 @@
 // changes in its gateways' view of the endpoints that it names, all gateways' lines about these
 // endpoints' departure, however long before, and all gateways' lines about endpoints that crashed
 // under the same request, including earlier attempts.
-func (s *Story) Lines() []Line {
+func (s *Log) Lines() []Line {
 	if len(s.requestLines) == 0 {
 		return nil
 	}
@@ -163,7 +163,7 @@
 }
 
 // Write writes the relevant lines with the time since the first one.
-func (s *Story) Write(w io.Writer) error {
+func (s *Log) Write(w io.Writer) error {
 	lines := s.Lines()
 	for _, l := range lines {
 		names := make([]string, 0, len(l.Fields))
--- a/decide/story/story_test.go
+++ b/decide/story/story_test.go
@@ -23,7 +23,7 @@
 `
 
 func TestStory(t *testing.T) {
-	s := &story.Story{Request: "r1", Before: 10 * time.Second}
+	s := &story.Log{Request: "r1", Before: 10 * time.Second}
 	skipped, err := s.Read(strings.NewReader(log))
 	require.NoError(t, err)
 	require.Equal(t, 1, skipped)
@@ -36,7 +36,7 @@
 
 // messagesOf returns the processes and messages of the lines relevant to request r1 in a log.
 func messagesOf(t *testing.T, log string) []string {
-	s := &story.Story{Request: "r1", Before: time.Second}
+	s := &story.Log{Request: "r1", Before: time.Second}
 	_, err := s.Read(strings.NewReader(log))
 	require.NoError(t, err)
 	var list []string
@@ -70,8 +70,8 @@
 	require.Equal(t, []string{"g2 endpoint changed", "g3 endpoint has left by the word of another gateway", "g1 request ended"}, messagesOf(t, lines))
 }
 
-func ExampleStory() {
-	s := &story.Story{Request: "r1", Before: time.Second}
+func ExampleLog() {
+	s := &story.Log{Request: "r1", Before: time.Second}
 	if _, err := s.Read(strings.NewReader(log)); err != nil {
 		fmt.Println(err)
 	}
@@ -86,7 +86,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add(log)
 	f.Fuzz(func(t *testing.T, text string) {
-		s := &story.Story{Request: "r1", Before: time.Hour}
+		s := &story.Log{Request: "r1", Before: time.Hour}
 		if _, err := s.Read(strings.NewReader(text)); err == nil {
 			require.NoError(t, s.Write(&strings.Builder{}))
 		}
--- a/decide/story/times.go
+++ b/decide/story/times.go
@@ -8,12 +8,12 @@
 
 // Times breaks down the time in which a stream was answered, and shows why an answer was late.
 type Times struct {
-	// Before is the time spent on the caller's earlier requests, 0 unless the gateway took it for a
-	// returning caller. Line is the time in the queue. Chain is the time from leaving the queue to
+	// Earlier is the time spent on the caller's earlier requests, 0 unless the gateway took it for a
+	// returning caller. Queue is the time in the queue. Chain is the time from leaving the queue to
 	// the first event, including abandoned attempts.
-	Before, Line, Chain time.Duration
-	// Pause is the longest time between two events.
-	Pause time.Duration
+	Earlier, Queue, Chain time.Duration
+	// MaxPause is the longest time between two events.
+	MaxPause time.Duration
 }
 
 // String returns the times as text, empty for the zero Times.
@@ -22,7 +22,7 @@
 		return ""
 	}
 	return fmt.Sprintf("%v with earlier tries, %v in line, %v from there to the first event; longest pause %v",
-		t.Before, t.Line, t.Chain, t.Pause)
+		t.Earlier, t.Queue, t.Chain, t.MaxPause)
 }
 
 // timesOf returns the times in the last line about a request.
@@ -32,9 +32,9 @@
 		return Times{}
 	}
 	queued := l.millis("waited_ms")
-	t := Times{Line: queued, Chain: max(first-queued, 0), Pause: l.millis("pause_ms")}
+	t := Times{Queue: queued, Chain: max(first-queued, 0), MaxPause: l.millis("pause_ms")}
 	if string(l.Fields["returned"]) == "true" {
-		t.Before = l.millis("under_route_ms")
+		t.Earlier = l.millis("under_route_ms")
 	}
 	return t
 }
--- a/decide/story/verdict.go
+++ b/decide/story/verdict.go
@@ -6,28 +6,28 @@
 	"strings"
 )
 
-// Fate is the result of a request, as far as the logs show.
-type Fate string
+// Result is the result of a request, as far as the logs show.
+type Result string
 
 // Fates of a request.
 const (
 	// FateAnswered is a request whose caller got the whole answer: the work was done and
 	// acknowledged.
-	FateAnswered Fate = "answered"
+	FateAnswered Result = "answered"
 	// FateNotRun is a request that no endpoint ran, and whose caller was told so.
-	FateNotRun Fate = "not run"
+	FateNotRun Result = "not run"
 	// FateRan is a request that an endpoint may have completed, but whose caller did not get the
 	// whole answer.
-	FateRan Fate = "may have run, not acknowledged"
+	FateRan Result = "may have run, not acknowledged"
 	// FateUnknown is a request whose gateway logged nothing after sending it.
-	FateUnknown Fate = "unknown: the gateway ended after it had sent the request"
+	FateUnknown Result = "unknown: the gateway ended after it had sent the request"
 	// FateUnsent is a request that was not sent to any endpoint, as far as the logs show.
-	FateUnsent Fate = "not sent, as far as the logs tell"
+	FateUnsent Result = "not sent, as far as the logs tell"
 )
 
 // Verdict is the result of one of a caller's attempts.
 type Verdict struct {
-	Fate Fate
+	Fate Result
 	// Process is the gateway that received it.
 	Process string
 	// Endpoint is where it ran or may have run, empty if it did not; that endpoint's own log has
@@ -65,7 +65,7 @@
 )
 
 // Verdict returns the result of the request.
-func (s *Story) Verdict() Verdict {
+func (s *Log) Verdict() Verdict {
 	v := Verdict{Fate: FateUnsent}
 	for _, l := range s.Lines() {
 		switch l.Message {
--- a/decide/story/verdict_test.go
+++ b/decide/story/verdict_test.go
@@ -32,7 +32,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := &story.Story{Request: "r", Before: time.Minute}
+			s := &story.Log{Request: "r", Before: time.Minute}
 			_, err := s.Read(strings.NewReader(strings.Join(c.log, "\n")))
 			require.NoError(t, err)
 			require.Equal(t, c.want, s.Verdict())
@@ -44,12 +44,12 @@
 // The verdict on a late answer must show how its time was spent.
 func TestVerdictHoldsTimes(t *testing.T) {
 	const log = `{"time":"2026-12-02T10:00:01Z","process":"g-1","message":"request ended","request":"r","outcome":"served","status":200,"runs":1,"first_ms":640.25,"waited_ms":300.5,"under_route_ms":2100,"returned":true,"pause_ms":46.2}`
-	s := &story.Story{Request: "r", Before: time.Minute}
+	s := &story.Log{Request: "r", Before: time.Minute}
 	_, err := s.Read(strings.NewReader(log))
 	require.NoError(t, err)
 	want := story.Times{
-		Before: 2100 * time.Millisecond, Line: 301 * time.Millisecond, Chain: 339 * time.Millisecond,
-		Pause: 46 * time.Millisecond,
+		Earlier: 2100 * time.Millisecond, Queue: 301 * time.Millisecond, Chain: 339 * time.Millisecond,
+		MaxPause: 46 * time.Millisecond,
 	}
 	require.Equal(t, want, s.Verdict().Times)
 	require.Contains(t, s.Verdict().String(), "2.1s with earlier tries, 301ms in line, 339ms from there to the first event; longest pause 46ms")
--- a/decide/throttle/throttle.go
+++ b/decide/throttle/throttle.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// LeastLimit is the lowest limit in effect, in requests per second: an endpoint that states
+	// MinLimit is the lowest limit in effect, in requests per second: an endpoint that states
 	// less gets one request in ten seconds, whose answer tells when its limit rises.
-	LeastLimit = 0.1
-	// MaxRest bounds the backoff period in effect. An endpoint that needs longer shuts down, and a
+	MinLimit = 0.1
+	// MaxBackoff bounds the backoff period in effect. An endpoint that needs longer shuts down, and a
 	// Retry-After of a year, sent by mistake, must not exclude it.
-	MaxRest = 5 * time.Minute
+	MaxBackoff = 5 * time.Minute
 	// BurstSpan is the period over which a gateway accumulates its unused share of a limit, and
 	// always at least one request. It is short compared with the seconds over which endpoints
 	// count requests.
@@ -37,16 +37,16 @@
 	withdrawalReportSpan = 3 * time.Second
 )
 
-// Hold is the reason why an endpoint may not be sent a request now.
-type Hold string
+// HoldReason is the reason why an endpoint may not be sent a request now.
+type HoldReason string
 
 // Reasons to hold a request back.
 const (
-	// Free means that a request may be sent.
-	Free    Hold = ""
-	Leaving Hold = "leaving"
-	Resting Hold = "rest"
-	Limited Hold = "limit"
+	// NotHeld means that a request may be sent.
+	NotHeld    HoldReason = ""
+	Leaving    HoldReason = "leaving"
+	BackingOff HoldReason = "rest"
+	Limited    HoldReason = "limit"
 )
 
 // Throttle holds the limits that an endpoint has stated in its answers and the requests that this
@@ -76,20 +76,20 @@
 	backoffUntil, trialUntil time.Time
 }
 
-// WithWord returns the throttle after an answer. The jitter, from 0 to 1, spreads times that would
+// WithReport returns the throttle after an answer. The jitter, from 0 to 1, spreads times that would
 // otherwise coincide on all gateways.
-func (t Throttle) WithWord(w Word, jitter float64) Throttle {
+func (t Throttle) WithReport(w Report, jitter float64) Throttle {
 	t.leaving = t.leaving || w.Leaving
-	t.unreadable = t.unreadable || w.Unclear != ""
+	t.unreadable = t.unreadable || w.Unreadable != ""
 	if w.Limit > 0 {
-		t = t.WithLimit(Limit{Rate: w.Limit, At: w.Heard}, w.Heard, jitter)
-	} else if t.Named() && w.Unclear == "" {
+		t = t.WithLimit(Limit{Rate: w.Limit, At: w.Received}, w.Received, jitter)
+	} else if t.Named() && w.Unreadable == "" {
 		// Answers can overtake each other, so only an answer to a request that was sent after the
 		// limit became known is certainly newer.
-		t = t.WithLimit(Limit{At: w.Sent}, w.Heard, jitter)
+		t = t.WithLimit(Limit{At: w.Sent}, w.Received, jitter)
 	}
-	if w.Rest > 0 {
-		until := w.Heard.Add(w.Rest + time.Duration(jitter*maxBackoffJitter*float64(w.Rest)))
+	if w.RetryAfter > 0 {
+		until := w.Received.Add(w.RetryAfter + time.Duration(jitter*maxBackoffJitter*float64(w.RetryAfter)))
 		if until.After(t.backoffUntil) {
 			t.backoffUntil = until
 		}
@@ -147,21 +147,21 @@
 }
 
 // Held returns why no request may be sent at now, or Free.
-func (t Throttle) Held(now time.Time) Hold {
+func (t Throttle) Held(now time.Time) HoldReason {
 	switch {
 	case t.leaving:
 		return Leaving
 	case now.Before(t.backoffUntil) || now.Before(t.trialUntil):
-		return Resting
+		return BackingOff
 	case t.limited(now) && t.tokensAvailable(now) < 1:
 		return Limited
 	}
-	return Free
+	return NotHeld
 }
 
-// From returns the earliest time at which a request may be sent, as known at now, or false if that
+// NextSend returns the earliest time at which a request may be sent, as known at now, or false if that
 // time is not known.
-func (t Throttle) From(now time.Time) (time.Time, bool) {
+func (t Throttle) NextSend(now time.Time) (time.Time, bool) {
 	if t.leaving {
 		return time.Time{}, false
 	}
@@ -184,8 +184,8 @@
 	return from, true
 }
 
-// Unclear reports whether a header of the endpoint could not be parsed.
-func (t Throttle) Unclear() bool { return t.unreadable }
+// Unreadable reports whether a header of the endpoint could not be parsed.
+func (t Throttle) Unreadable() bool { return t.unreadable }
 
 // Named reports whether the endpoint states a limit, as far as this gateway knows.
 func (t Throttle) Named() bool { return t.limit.Named() }
@@ -196,8 +196,8 @@
 // Share returns this gateway's share of the limit in requests per second, 0 until it is computed.
 func (t Throttle) Share() float64 { return t.share }
 
-// Rest returns the end of the backoff period, zero if the endpoint asked for none.
-func (t Throttle) Rest() time.Time { return t.backoffUntil }
+// BackoffUntil returns the end of the backoff period, zero if the endpoint asked for none.
+func (t Throttle) BackoffUntil() time.Time { return t.backoffUntil }
 
 // Demand returns the rate of requests that would start at the endpoint at now, 0 while it states no
 // limit.
@@ -218,9 +218,9 @@
 	return t.Demand(now)
 }
 
-// Tells reports whether this gateway should report the limit, or its withdrawal, to its peers at
+// ReportsLimit reports whether this gateway should report the limit, or its withdrawal, to its peers at
 // now.
-func (t Throttle) Tells(now time.Time) bool {
+func (t Throttle) ReportsLimit(now time.Time) bool {
 	return t.Named() || !t.limit.At.IsZero() && now.Sub(t.limit.At) < withdrawalReportSpan
 }
 
--- a/decide/throttle/throttle_test.go
+++ b/decide/throttle/throttle_test.go
@@ -17,8 +17,8 @@
 }
 
 // answer returns an answer received at a time, to a request sent 100 ms before.
-func answer(seconds float64, w throttle.Word) throttle.Word {
-	w.Sent, w.Heard = at(seconds-0.1), at(seconds)
+func answer(seconds float64, w throttle.Report) throttle.Report {
+	w.Sent, w.Received = at(seconds-0.1), at(seconds)
 	return w
 }
 
@@ -26,7 +26,7 @@
 func countSent(t throttle.Throttle, from, to float64) (throttle.Throttle, int) {
 	n := 0
 	for s := from; s < to; s += 0.01 {
-		if t.Held(at(s)) == throttle.Free {
+		if t.Held(at(s)) == throttle.NotHeld {
 			t = t.WithRequest(at(s))
 			n++
 		}
@@ -35,7 +35,7 @@
 }
 
 func TestLimitIsEnforced(t *testing.T) {
-	limited := throttle.Throttle{}.WithWord(answer(0, throttle.Word{Limit: 4}), 0)
+	limited := throttle.Throttle{}.WithReport(answer(0, throttle.Report{Limit: 4}), 0)
 	assert.Equal(t, throttle.Limited, limited.Held(at(1)), "no request is admitted before the share is computed")
 	shared := limited.WithShare(2, at(0))
 	_, n := countSent(shared, 0, 10)
@@ -44,64 +44,64 @@
 	assert.Equal(t, 2, n, "one second's share accumulates, however long no request was sent")
 	_, n = countSent(shared.WithShare(0, at(100)), 100, 200)
 	assert.Zero(t, n, "a gateway without a share loses its tokens")
-	from, known := shared.From(at(0.1))
+	from, known := shared.NextSend(at(0.1))
 	assert.True(t, known)
 	assert.Equal(t, at(0.5), from)
 }
 
 func TestLimitIsWithdrawn(t *testing.T) {
-	limited := throttle.Throttle{}.WithWord(answer(0, throttle.Word{Limit: 4}), 0).WithShare(1, at(0))
+	limited := throttle.Throttle{}.WithReport(answer(0, throttle.Report{Limit: 4}), 0).WithShare(1, at(0))
 	for _, c := range []struct {
 		name        string
-		answer      throttle.Word
+		answer      throttle.Report
 		wantLimited bool
 	}{
-		{"an answer to a request sent before the limit was known", throttle.Word{Sent: at(-0.1), Heard: at(0.2)}, true},
-		{"an answer to a later request", throttle.Word{Sent: at(0.1), Heard: at(0.2)}, false},
-		{"a later answer with an unreadable header", throttle.Word{Sent: at(0.1), Heard: at(0.2), Unclear: "Server-Limit: x"}, true},
-		{"another limit", throttle.Word{Limit: 5, Sent: at(0.1), Heard: at(0.2)}, true},
+		{"an answer to a request sent before the limit was known", throttle.Report{Sent: at(-0.1), Received: at(0.2)}, true},
+		{"an answer to a later request", throttle.Report{Sent: at(0.1), Received: at(0.2)}, false},
+		{"a later answer with an unreadable header", throttle.Report{Sent: at(0.1), Received: at(0.2), Unreadable: "Server-Limit: x"}, true},
+		{"another limit", throttle.Report{Limit: 5, Sent: at(0.1), Received: at(0.2)}, true},
 	} {
-		assert.Equal(t, c.wantLimited, limited.WithWord(c.answer, 0).Named(), c.name)
+		assert.Equal(t, c.wantLimited, limited.WithReport(c.answer, 0).Named(), c.name)
 	}
-	withdrawn := limited.WithWord(throttle.Word{Sent: at(3), Heard: at(3.1)}, 0.5)
+	withdrawn := limited.WithReport(throttle.Report{Sent: at(3), Received: at(3.1)}, 0.5)
 	assert.Equal(t, throttle.Limited, withdrawn.WithRequest(at(3.2)).WithRequest(at(3.2)).Held(at(3.9)), "the limit is enforced until resumesAt")
-	assert.Equal(t, throttle.Free, withdrawn.WithRequest(at(4.2)).WithRequest(at(4.2)).Held(at(4.2)))
+	assert.Equal(t, throttle.NotHeld, withdrawn.WithRequest(at(4.2)).WithRequest(at(4.2)).Held(at(4.2)))
 	late := withdrawn.WithLimit(throttle.Limit{Rate: 4, At: at(2), Relays: 1}, at(5), 0)
 	assert.False(t, late.Named(), "a delayed report of a limit from before its withdrawal")
-	assert.True(t, withdrawn.Tells(at(4)), "peers are told of the withdrawal")
-	assert.False(t, withdrawn.Tells(at(10)))
+	assert.True(t, withdrawn.ReportsLimit(at(4)), "peers are told of the withdrawal")
+	assert.False(t, withdrawn.ReportsLimit(at(10)))
 }
 
 func TestBackoffPeriodIsEnforced(t *testing.T) {
-	asked := throttle.Throttle{}.WithWord(answer(0, throttle.Word{Rest: 3 * time.Second}), 1)
-	assert.Equal(t, throttle.Resting, asked.Held(at(3.5)), "jitter extends the backoff period")
-	from, known := asked.From(at(1))
+	asked := throttle.Throttle{}.WithReport(answer(0, throttle.Report{RetryAfter: 3 * time.Second}), 1)
+	assert.Equal(t, throttle.BackingOff, asked.Held(at(3.5)), "jitter extends the backoff period")
+	from, known := asked.NextSend(at(1))
 	assert.True(t, known)
 	assert.Equal(t, at(3.6), from)
 	trial, n := countSent(asked, 0, 4.5)
 	assert.Equal(t, 1, n, "one trial request is sent")
 	_, n = countSent(trial, 4.5, 5)
 	assert.Equal(t, 1, n, "another one is sent if the first stays unanswered")
-	early := trial.WithWord(throttle.Word{Sent: at(-0.1), Heard: at(4)}, 0)
-	assert.Equal(t, throttle.Resting, early.Held(at(4)), "an answer to a request sent before the backoff period does not end it")
-	assert.Equal(t, throttle.Free, trial.WithWord(answer(4, throttle.Word{}), 0).Held(at(4)))
-	again := trial.WithWord(answer(4, throttle.Word{Rest: time.Second}), 0)
-	assert.Equal(t, throttle.Resting, again.Held(at(4.9)))
-	assert.Equal(t, throttle.Free, again.Held(at(5)))
+	early := trial.WithReport(throttle.Report{Sent: at(-0.1), Received: at(4)}, 0)
+	assert.Equal(t, throttle.BackingOff, early.Held(at(4)), "an answer to a request sent before the backoff period does not end it")
+	assert.Equal(t, throttle.NotHeld, trial.WithReport(answer(4, throttle.Report{}), 0).Held(at(4)))
+	again := trial.WithReport(answer(4, throttle.Report{RetryAfter: time.Second}), 0)
+	assert.Equal(t, throttle.BackingOff, again.Held(at(4.9)))
+	assert.Equal(t, throttle.NotHeld, again.Held(at(5)))
 }
 
 func TestLeavingIsFinal(t *testing.T) {
-	left := throttle.Throttle{}.WithWord(answer(0, throttle.Word{Leaving: true}), 0).WithWord(answer(1, throttle.Word{}), 0)
+	left := throttle.Throttle{}.WithReport(answer(0, throttle.Report{Leaving: true}), 0).WithReport(answer(1, throttle.Report{}), 0)
 	assert.Equal(t, throttle.Leaving, left.Held(at(100)))
-	_, known := left.From(at(100))
+	_, known := left.NextSend(at(100))
 	assert.False(t, known)
 }
 
 func TestDemandIsCountedWhileALimitIsStated(t *testing.T) {
-	limited := throttle.Throttle{}.WithWord(answer(0, throttle.Word{Limit: 4}), 0)
+	limited := throttle.Throttle{}.WithReport(answer(0, throttle.Report{Limit: 4}), 0)
 	for s := 0.0; s < 5; s += 0.1 {
 		limited = limited.WithDemand(at(s))
 	}
 	assert.InDelta(t, 10, limited.Demand(at(5)), 1)
-	assert.Zero(t, limited.WithWord(answer(6, throttle.Word{}), 0).Demand(at(6)))
+	assert.Zero(t, limited.WithReport(answer(6, throttle.Report{}), 0).Demand(at(6)))
 }
--- a/decide/unseen/flow_test.go
+++ b/decide/unseen/flow_test.go
@@ -82,7 +82,7 @@
 // Gateways that add the estimate of unreported requests must overfill the slots less, and still use
 // nearly all of them.
 func TestSlotsAreNotOverfilled(t *testing.T) {
-	margin := unseen.Flow{Told: reportInterval, Lasts: requestDuration}.Part()
+	margin := unseen.Usage{ReportInterval: reportInterval, HoldTime: requestDuration}.UnreportedShare()
 	before, _ := simulate(0)
 	after, used := simulate(margin)
 	t.Logf("slots overfilled by %.1f with the estimate, %.1f without; used %.3f", after, before, used)
@@ -91,6 +91,6 @@
 }
 
 func TestUnknownAndShortDurations(t *testing.T) {
-	require.Zero(t, unseen.Flow{Told: reportInterval}.Part())
-	require.InDelta(t, 1, unseen.Flow{Told: time.Minute, Lasts: time.Second}.Part(), 1e-9)
+	require.Zero(t, unseen.Usage{ReportInterval: reportInterval}.UnreportedShare())
+	require.InDelta(t, 1, unseen.Usage{ReportInterval: time.Minute, HoldTime: time.Second}.UnreportedShare(), 1e-9)
 }
--- a/decide/urgency/urgency.go
+++ b/decide/urgency/urgency.go
@@ -13,8 +13,8 @@
 	New
 	// Returned is a request whose caller has retried as told, and will not retry again.
 	Returned
-	// Begun is a request that has been sent already: the work done for it would be lost.
-	Begun
+	// Sent is a request that has been sent already: the work done for it would be lost.
+	Sent
 	// Levels is the number of urgencies.
 	Levels
 )
@@ -38,7 +38,7 @@
 func (l Load) Of(begun, returned bool) Urgency {
 	switch {
 	case begun:
-		return Begun
+		return Sent
 	case !returned:
 		return New
 	case l.Admitted > 0 && l.Returning > maxReturningShare*l.Admitted:
--- a/decide/urgency/urgency_test.go
+++ b/decide/urgency/urgency_test.go
@@ -21,7 +21,7 @@
 		{"a returning caller among few", few, false, true, urgency.Returned},
 		{"a returning caller among too many", many, false, true, urgency.Late},
 		{"a returning caller without load data", urgency.Load{}, false, true, urgency.Returned},
-		{"one that has been sent", many, true, true, urgency.Begun},
+		{"one that has been sent", many, true, true, urgency.Sent},
 	} {
 		require.Equal(t, c.want, c.load.Of(c.begun, c.returned), c.name)
 	}
--- a/decide/view/view.go
+++ b/decide/view/view.go
@@ -27,8 +27,8 @@
 // View is the mutable set of known endpoints. It is not safe for concurrent use. The exported
 // fields must be set before the first use.
 type View struct {
-	// Home is the entry's own data hall.
-	Home string
+	// HomeHall is the entry's own data hall.
+	HomeHall string
 	// Links returns the latency between halls.
 	Links route.Links
 	// Expiry is how long an endpoint stays known after its last heartbeat.
@@ -50,9 +50,9 @@
 	listedLeaving bool
 }
 
-// Introduced records an endpoint's introduction of itself. It reports whether choices may
+// RecordIntroduction records an endpoint's introduction of itself. It reports whether choices may
 // change.
-func (v *View) Introduced(e fleet.Endpoint) bool {
+func (v *View) RecordIntroduction(e fleet.Endpoint) bool {
 	if v.state == nil {
 		v.state = make(map[string]*state)
 		v.byIncarnation = make(map[uint64]*state)
@@ -78,32 +78,32 @@
 		former.Leaving != e.Leaving || former.Address != e.Address || former.Service != e.Service
 }
 
-// Heard records a heartbeat: the time, the agent's epoch and its load report. It returns the
+// RecordHeartbeat records a heartbeat: the time, the agent's epoch and its load report. It returns the
 // endpoint and whether choices may change; ok is false when no endpoint of that incarnation is
 // known.
-func (v *View) Heard(now time.Time, incarnation, epoch uint64, r route.Report) (e fleet.Endpoint, changed, ok bool) {
+func (v *View) RecordHeartbeat(now time.Time, incarnation, epoch uint64, r route.LoadReport) (e fleet.Endpoint, changed, ok bool) {
 	k := v.byIncarnation[incarnation]
 	if k == nil {
 		return fleet.Endpoint{}, false, false
 	}
 	changed = k.suspect
 	k.suspect = false
-	k.endpoint.Seen = now
+	k.endpoint.LastHeartbeat = now
 	k.usage.Epoch.Store(epoch)
 	k.usage.Report(r)
 	return k.endpoint, changed, true
 }
 
-// Loaded records a load report that came with an answer.
-func (v *View) Loaded(name string, r route.Report) {
+// RecordLoad records a load report that came with an answer.
+func (v *View) RecordLoad(name string, r route.LoadReport) {
 	if k := v.state[name]; k != nil {
 		k.usage.Report(r)
 	}
 }
 
-// Suspect excludes an endpoint from work until its next heartbeat. It reports whether choices
+// MarkSuspect excludes an endpoint from work until its next heartbeat. It reports whether choices
 // may change.
-func (v *View) Suspect(name string) bool {
+func (v *View) MarkSuspect(name string) bool {
 	k := v.state[name]
 	if k == nil || k.suspect {
 		return false
@@ -112,19 +112,19 @@
 	return true
 }
 
-// SuspectAddress is like Suspect for the endpoint with an agent's address.
-func (v *View) SuspectAddress(address string) bool {
+// MarkAddressSuspect is like Suspect for the endpoint with an agent's address.
+func (v *View) MarkAddressSuspect(address string) bool {
 	for name, k := range v.state {
 		if k.endpoint.Address == address {
-			return v.Suspect(name)
+			return v.MarkSuspect(name)
 		}
 	}
 	return false
 }
 
-// Listed records which hosts the platform's list reports as leaving, by the agents' addresses.
+// SetLeavingHosts records which hosts the platform's list reports as leaving, by the agents' addresses.
 // It reports whether choices may change.
-func (v *View) Listed(leaving map[string]bool) bool {
+func (v *View) SetLeavingHosts(leaving map[string]bool) bool {
 	changed := false
 	for _, k := range v.state {
 		listedLeaving := leaving[k.endpoint.Address]
@@ -138,7 +138,7 @@
 func (v *View) Expire(now time.Time) []string {
 	var names []string
 	for name, k := range v.state {
-		if now.Sub(k.endpoint.Seen) > v.Expiry {
+		if now.Sub(k.endpoint.LastHeartbeat) > v.Expiry {
 			delete(v.state, name)
 			delete(v.byIncarnation, k.endpoint.Incarnation)
 			names = append(names, name)
@@ -168,7 +168,7 @@
 			s.Plain[name] = byService[name]
 			continue
 		}
-		s.Models[name] = route.New(service.Value.Layers, v.Home, byService[name], v.Links)
+		s.Models[name] = route.New(service.Value.Layers, v.HomeHall, byService[name], v.Links)
 	}
 	return s
 }
--- a/decide/view/view_test.go
+++ b/decide/view/view_test.go
@@ -17,13 +17,13 @@
 	before := fleet.Endpoint{Name: "a", Service: "records", Incarnation: 7}
 	services := map[string]config.Object[config.Service]{"records": {Value: config.Service{Kind: config.Plain}}}
 	open := func() int { return len(v.Snapshot(services).Plain["records"]) }
-	v.Introduced(before)
+	v.RecordIntroduction(before)
 	require.Equal(t, 1, open())
-	v.Introduced(before.WithLeaving(true))
-	v.Introduced(before)
+	v.RecordIntroduction(before.WithLeaving(true))
+	v.RecordIntroduction(before)
 	require.Zero(t, open())
 	next := before
 	next.Incarnation++
-	v.Introduced(next)
+	v.RecordIntroduction(next)
 	require.Equal(t, 1, open(), "a new incarnation takes work again")
 }
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -166,7 +166,7 @@
 	var chain []string
 	first := make(map[string]int)
 	for _, c := range e.Snapshot().Models[model].Candidates {
-		if c.Usage.Own.Load() > 0 {
+		if c.Usage.OwnSessions.Load() > 0 {
 			chain = append(chain, c.Endpoint.Name)
 			first[c.Endpoint.Name] = c.Endpoint.Layers.First
 		}
--- a/port/exchange/exchange.go
+++ b/port/exchange/exchange.go
@@ -65,7 +65,7 @@
 	Running, Waiting, Slots int
 	// Word is the endpoint's report on the requests that it accepts: its rate limit, the
 	// backoff period that it asks for, and whether it is leaving.
-	Word throttle.Word
+	Word throttle.Report
 }
 
 // Dialect reads and writes a platform's headers. Its methods are safe for concurrent use.
--- a/role/admission/line.go
+++ b/role/admission/line.go
@@ -59,14 +59,14 @@
 	gate gate.Gate[G]
 	wake chan struct{}
 	// firstTimeouts holds, per service, the timeouts that callers usually set on a first attempt.
-	firstTimeouts byname.Map[patience.Learned]
+	firstTimeouts byname.Map[patience.Estimate]
 	refusedAt     atomic.Int64
 	// retryRates holds the rate of retried requests per service.
 	retryRates byname.Map[rate.Meter]
 
 	mu sync.Mutex
 	// retries schedules the retries of refused callers; guarded by mu.
-	retries comeback.Book
+	retries comeback.Schedule
 }
 
 // ready initializes the gate on the first call and returns it.
@@ -81,12 +81,12 @@
 // Arrive records a new request and reports whether it is a retry of a refused one.
 func (l *Line[G]) Arrive(r Request) bool {
 	share := r.share()
-	returned := l.firstTimeouts.Get(r.Service).Returned(share)
+	returned := l.firstTimeouts.Get(r.Service).IsReturning(share)
 	if returned {
 		l.retryRates.Update(r.Service, func(m rate.Meter) rate.Meter { return m.WithCount(r.Start, 1) })
 	}
 	if r.Start.UnixNano()-l.refusedAt.Load() >= int64(noRefusalPeriod) {
-		l.firstTimeouts.Update(r.Service, func(p patience.Learned) patience.Learned { return p.WithShare(share) })
+		l.firstTimeouts.Update(r.Service, func(p patience.Estimate) patience.Estimate { return p.WithShare(share) })
 	}
 	return returned
 }
@@ -171,9 +171,9 @@
 // admissions in requests per second from which the delay was computed.
 func (l *Line[G]) ComeBack(r Request, now time.Time) (time.Duration, float64) {
 	l.refusedAt.Store(now.UnixNano())
-	load := comeback.Load{Admitted: l.ready().Admitted(r.Service), Lasts: l.Times.Lasts(r.Service)}
+	load := comeback.Load{Admitted: l.ready().Admitted(r.Service), RequestDuration: l.Times.Lasts(r.Service)}
 	maxDelay := time.Duration(maxRetryAfterShare * float64(r.Deadline.Sub(now)))
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.retries.Wait(now, load, maxDelay), load.Admitted
+	return l.retries.Delay(now, load, maxDelay), load.Admitted
 }
--- a/role/agent/agent.go
+++ b/role/agent/agent.go
@@ -86,7 +86,7 @@
 	fence      order.Fence
 	status     engine.Status
 	loading    bool
-	learned    limit.Learned
+	learned    limit.Adaptive
 	stepTime   time.Duration
 	calls      once.Table[*wire.CallReply]
 	waiters    map[once.Key]chan struct{}
@@ -120,7 +120,7 @@
 	a.sessions = make(map[string]*session)
 	a.wake = make(chan struct{}, 1)
 	a.fence = order.Fence{Incarnation: a.incarnation}
-	a.learned = limit.Learned{Min: min(defaultBatch, a.MaxSessions), Max: a.MaxSessions}
+	a.learned = limit.Adaptive{Min: min(defaultBatch, a.MaxSessions), Max: a.MaxSessions}
 	a.WaitFactor = cmp.Or(a.WaitFactor, DefaultWaitFactor)
 	a.calls = once.Table[*wire.CallReply]{
 		Start: time.Now(), Epoch: callEpoch, Max: maxCalls, Keep: a.CallKeep,
--- a/role/agent/calls.go
+++ b/role/agent/calls.go
@@ -83,7 +83,7 @@
 	case wire.CallReply_DONE:
 		a.calls.Finish(now, ticket.Key, stored(reply))
 	default:
-		a.calls.Lose(now, ticket.Key, reply)
+		a.calls.FinishLost(now, ticket.Key, reply)
 	}
 	close(a.waiters[ticket.Key])
 	delete(a.waiters, ticket.Key)
--- a/role/announcer/announcer.go
+++ b/role/announcer/announcer.go
@@ -146,7 +146,7 @@
 	var names []string
 	a.mu.Lock()
 	for key, m := range silent {
-		if pair, there := a.known[key]; there && m.Name != a.Self.Name && o.Cleans(m) && len(ended) < maxRemoved {
+		if pair, there := a.known[key]; there && m.Name != a.Self.Name && o.CleansUpAfter(m) && len(ended) < maxRemoved {
 			ended, names = append(ended, pair), append(names, m.Name)
 		}
 	}
--- a/role/entry/call.go
+++ b/role/entry/call.go
@@ -180,7 +180,7 @@
 		ran = ran || err != nil || reply.GetOutcome() != wire.CallReply_NOT_RUN
 		avoid[at.Name] = true
 		if ctx.Err() != nil {
-			return router.Reply{}, withRan(ran, outcome.Refuse(outcome.DeadlineOver, ctx.Err().Error(), retryAfter))
+			return router.Reply{}, withRan(ran, outcome.Refuse(outcome.DeadlineExceeded, ctx.Err().Error(), retryAfter))
 		}
 		if !c.entry.mayRetry() {
 			return router.Reply{}, withRan(ran, outcome.Refuse(outcome.RetryExceeded, why, retryAfter))
--- a/role/entry/complete.go
+++ b/role/entry/complete.go
@@ -116,7 +116,7 @@
 func (e *Entry) countFirstAttempt() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Retries.First(time.Now())
+	e.Retries.CountFirstAttempt(time.Now())
 }
 
 func (e *Entry) mayRetry() bool {
--- a/role/entry/entry.go
+++ b/role/entry/entry.go
@@ -139,8 +139,8 @@
 	e.changes = conflog.New(e.Store, e.config)
 	e.claims = &claimlog.Log{Store: e.Store, Keep: e.ClaimKeep, Gather: claimBatchDelay, Timeout: claimTimeout}
 	e.gate.MaxQueue = e.MaxQueue
-	e.view = view.View{Home: e.Hall, Links: e.Links, Expiry: e.Expiry}
-	e.peers = member.Set{Keep: peerTTL}
+	e.view = view.View{HomeHall: e.Hall, Links: e.Links, Expiry: e.Expiry}
+	e.peers = member.Set{Retention: peerTTL}
 	e.revisions = make(map[string]uint64)
 	e.stalls = make(map[string]stalls)
 	e.teamLoad = make(map[string]int)
--- a/role/entry/fleet.go
+++ b/role/entry/fleet.go
@@ -21,14 +21,14 @@
 	e.mu.Lock()
 	changed := false
 	if self := beat.GetSelf(); self != nil {
-		changed = e.view.Introduced(fleet.Endpoint{
+		changed = e.view.RecordIntroduction(fleet.Endpoint{
 			Name: self.GetEndpoint(), Address: self.GetAddress(), Hall: self.GetHall(),
 			Incarnation: beat.GetIncarnation(), Service: self.GetService(),
 			Layers:  layer.Range{First: int(self.GetFirst()), End: int(self.GetEnd())},
-			Leaving: self.GetLeaving(), Seen: now,
+			Leaving: self.GetLeaving(), LastHeartbeat: now,
 		})
 	}
-	endpoint, woke, ok := e.view.Heard(now, beat.GetIncarnation(), beat.GetEpoch(), reportOf(beat.GetLoad()))
+	endpoint, woke, ok := e.view.RecordHeartbeat(now, beat.GetIncarnation(), beat.GetEpoch(), reportOf(beat.GetLoad()))
 	entries := e.peers.Shared()
 	e.mu.Unlock()
 	if !ok {
@@ -57,8 +57,8 @@
 }
 
 // reportOf converts a load report for the view.
-func reportOf(l *wire.Load) route.Report {
-	return route.Report{
+func reportOf(l *wire.Load) route.LoadReport {
+	return route.LoadReport{
 		Sessions: int(l.GetSessions()), Limit: int(l.GetLimit()), Batch: int(l.GetBatch()),
 		Step: time.Duration(l.GetStepMicros()) * time.Microsecond,
 	}
@@ -92,14 +92,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, l := range loads {
-		e.view.Loaded(l.GetEndpoint(), reportOf(l))
+		e.view.RecordLoad(l.GetEndpoint(), reportOf(l))
 	}
 }
 
 // suspect keeps new work from an endpoint until its next heartbeat.
 func (e *Entry) suspect(name, why string) {
 	e.mu.Lock()
-	changed := e.view.Suspect(name)
+	changed := e.view.MarkSuspect(name)
 	e.mu.Unlock()
 	if changed {
 		e.Log.Warn().Str("endpoint", name).Str("why", why).Msg("endpoint is suspect")
@@ -110,7 +110,7 @@
 // peerDown handles the end of the connection to an agent.
 func (e *Entry) peerDown(address string) {
 	e.mu.Lock()
-	changed := e.view.SuspectAddress(address)
+	changed := e.view.MarkAddressSuspect(address)
 	e.mu.Unlock()
 	if changed {
 		e.Log.Warn().Str("address", address).Msg("connection to agent broke; agent is suspect")
--- a/role/entry/flight_test.go
+++ b/role/entry/flight_test.go
@@ -115,7 +115,7 @@
 	time.AfterFunc(20*time.Millisecond, cancel)
 	group.Wait()
 	for _, c := range l.Entry(0).Snapshot().Models["m"].Candidates {
-		require.Zero(t, c.Usage.Own.Load(), c.Endpoint.Name)
+		require.Zero(t, c.Usage.OwnSessions.Load(), c.Endpoint.Name)
 	}
 	_, err := requestTokens(l, 3, nil)
 	require.NoError(t, err)
@@ -138,7 +138,7 @@
 			}
 			for _, c := range l.Entry(0).Snapshot().Models["m"].Candidates {
 				name := c.Endpoint.Name
-				if c.Usage.Own.Load() > 0 && strings.HasPrefix(name, "a") && !gone[name] {
+				if c.Usage.OwnSessions.Load() > 0 && strings.HasPrefix(name, "a") && !gone[name] {
 					gone[name] = true
 					killed.Add(1)
 					l.Kill(name)
--- a/role/entry/follow.go
+++ b/role/entry/follow.go
@@ -17,7 +17,7 @@
 	e.mu.Lock()
 	if self := r.GetSelf(); self.GetAddress() != "" {
 		e.revisions[self.GetName()] = r.GetRevision()
-		e.peers.Heard(time.Now(), self)
+		e.peers.RecordDirect(time.Now(), self)
 	}
 	entries := e.peers.Shared()
 	e.mu.Unlock()
@@ -88,7 +88,7 @@
 	}
 	e.mu.Lock()
 	for _, p := range reply.GetEntries() {
-		e.peers.Told(time.Now(), p)
+		e.peers.RecordReported(time.Now(), p)
 	}
 	e.mu.Unlock()
 	if err := e.config.Take(reply); err != nil {
@@ -172,8 +172,8 @@
 		}
 	}
 	e.mu.Lock()
-	e.peers.Listed(time.Now(), peers)
-	changed := e.view.Listed(leaving)
+	e.peers.SetListed(time.Now(), peers)
+	changed := e.view.SetLeavingHosts(leaving)
 	e.mu.Unlock()
 	if changed {
 		e.rebuild()
--- a/role/entry/seat.go
+++ b/role/entry/seat.go
@@ -21,7 +21,7 @@
 // newReservation reserves capacity at the candidates.
 func newReservation(stages []route.Candidate) *reservation {
 	for _, c := range stages {
-		c.Usage.Own.Add(1)
+		c.Usage.OwnSessions.Add(1)
 	}
 	return &reservation{stages: stages}
 }
@@ -33,7 +33,7 @@
 	}
 	s.released = true
 	for _, c := range s.stages {
-		c.Usage.Own.Add(-1)
+		c.Usage.OwnSessions.Add(-1)
 	}
 }
 
--- a/role/gateway/chooser.go
+++ b/role/gateway/chooser.go
@@ -70,7 +70,7 @@
 		card := q.service.Model.Cards[b.Card]
 		holders = append(holders, chain.Holder{
 			ID: p.ID, Address: p.Address, Hall: b.hall, Layers: p.Layers,
-			PerLayer: c.layerTime(q.service.Model, card, q, b.use) * keptLayerCost,
+			CostPerLayer: c.layerTime(q.service.Model, card, q, b.use) * keptLayerCost,
 		})
 	}
 	c.holders = holders
@@ -87,36 +87,36 @@
 
 // prepare sets the model, the costs of entering a chain in each hall, the share of other gateways'
 // requests not yet reported, and the noise.
-func (c *chooser) prepare(m *catalog.Model, f *fleet, home string, others unseen.Flow) {
+func (c *chooser) prepare(m *catalog.Model, f *fleet, home string, others unseen.Usage) {
 	c.finder.Layers = m.Layers
 	c.fleetFactor = 1
-	c.unseen = others.Part()
-	c.finder.Entry = c.finder.Entry[:0]
+	c.unseen = others.UnreportedShare()
+	c.finder.EntryCost = c.finder.EntryCost[:0]
 	c.noise = c.noise[:0]
 	for _, hall := range f.halls {
 		entry := remoteEntryCost
 		if hall == home {
 			entry = 0
 		}
-		c.finder.Entry = append(c.finder.Entry, entry)
+		c.finder.EntryCost = append(c.finder.EntryCost, entry)
 		c.noise = append(c.noise, 1+maxHallNoise*rand.Float64())
 	}
 }
 
 // hops sets the cost of passing a token on; between two halls it is crossHall.
 func (c *chooser) hops(crossHall float64) {
-	halls := len(c.finder.Entry)
-	for len(c.finder.Hops) < halls {
-		c.finder.Hops = append(c.finder.Hops, nil)
+	halls := len(c.finder.EntryCost)
+	for len(c.finder.HopCost) < halls {
+		c.finder.HopCost = append(c.finder.HopCost, nil)
 	}
-	c.finder.Hops = c.finder.Hops[:halls]
-	for i := range c.finder.Hops {
-		row := slices.Grow(c.finder.Hops[i][:0], halls)[:halls]
+	c.finder.HopCost = c.finder.HopCost[:halls]
+	for i := range c.finder.HopCost {
+		row := slices.Grow(c.finder.HopCost[i][:0], halls)[:halls]
 		for j := range row {
 			row[j] = crossHall
 		}
 		row[i] = hopCostInHall
-		c.finder.Hops[i] = row
+		c.finder.HopCost[i] = row
 	}
 }
 
@@ -173,15 +173,15 @@
 		}
 		c.holders = append(c.holders, chain.Holder{
 			ID: b.ID, Address: b.Address, Hall: b.hall, Layers: usable,
-			PerLayer: c.perLayer(q, b, now) * memoryFactor(free, room),
+			CostPerLayer: c.perLayer(q, b, now) * memoryFactor(free, room),
 		})
 	}
 }
 
 // declines reports whether an endpoint that announced a limit or a backoff period is left out as
 // the first of a chain.
-func (c *chooser) declines(hold throttle.Hold) bool {
-	return hold == throttle.Resting || hold == throttle.Limited && c.skipLimited
+func (c *chooser) declines(hold throttle.HoldReason) bool {
+	return hold == throttle.BackingOff || hold == throttle.Limited && c.skipLimited
 }
 
 // shortage returns why the search found no chain although one exists.
@@ -243,7 +243,7 @@
 	reading := float64(u.reading.Load())*c.fleetFactor + float64(u.othersReading.Load())
 	step := m.Step.Seconds() + float64(active)*m.PerSequence.Seconds()
 	read := (1 + reading) * float64(q.Prompt) / m.ReadRate / readSpreadTokens
-	return (step*card.Pace + read*card.Read) / float64(m.Layers)
+	return (step*card.TokenTimeFactor + read*card.PromptTimeFactor) / float64(m.Layers)
 }
 
 // memoryFactor returns the cost factor of an endpoint for its memory in use.
--- a/role/gateway/fleet.go
+++ b/role/gateway/fleet.go
@@ -110,7 +110,7 @@
 	// another gateway, in nanoseconds of Unix time.
 	checkedAt, othersCheckedAt atomic.Int64
 	// holding is what it reports to hold while its record differs, nil for none.
-	holding atomic.Pointer[holding.Holding]
+	holding atomic.Pointer[holding.Report]
 	// pendingOrder is the order that it carries out, nil for none known.
 	pendingOrder atomic.Pointer[pendingOrder]
 	// watchers watch the streams that pass through it.
--- a/role/gateway/follow.go
+++ b/role/gateway/follow.go
@@ -28,7 +28,7 @@
 // follow keeps the gateway's view of the store current until ctx ends.
 func (g *Gateway) follow(ctx context.Context) {
 	m := mirror.Mirror{
-		Feed: &g.feed, Wait: g.policy().Wait(), Settle: min(changesSettle, g.policy().Wait()), Grace: lapseGrace,
+		Feed: &g.feed, Wait: g.policy().WatchTimeout(), Settle: min(changesSettle, g.policy().WatchTimeout()), Grace: lapseGrace,
 		Now: g.Clock, Refresh: g.refreshed, Put: g.put, Gone: g.gone, Partial: g.partial, Unhurried: g.fleetStarting, Unproven: g.unproven, Confirm: g.confirm,
 		Log: g.Log,
 		Lost: func(err error) {
@@ -145,5 +145,5 @@
 
 // fresh reports whether requests with a key may be served at the proof age of this request.
 func (g *Gateway) fresh(q *query) bool {
-	return g.policy().Serves(q.proofAge)
+	return g.policy().MayServe(q.proofAge)
 }
--- a/role/gateway/handler.go
+++ b/role/gateway/handler.go
@@ -154,7 +154,7 @@
 	if q.r.Body == nil || q.r.Body == http.NoBody {
 		return true
 	}
-	maxBytes := limits.BodyBytes
+	maxBytes := limits.MaxBodyBytes
 	if maxBytes <= 0 {
 		maxBytes = defaultMaxBody
 	}
--- a/role/gateway/holding.go
+++ b/role/gateway/holding.go
@@ -13,15 +13,15 @@
 		b.use.holding.Store(nil)
 		return
 	}
-	b.use.holding.Store(&holding.Holding{Held: held, Recorded: b.Layers, At: at})
+	b.use.holding.Store(&holding.Report{Reported: held, Recorded: b.Layers, At: at})
 }
 
 // reportedLayers returns the layers that the endpoint reported, and whether they count beside its
 // record.
 func (b *backend) reportedLayers(now time.Time) (layer.Range, bool) {
 	h := b.use.holding.Load()
-	if h == nil || !h.Counts(b.Layers, now, recordLag) {
+	if h == nil || !h.Overrides(b.Layers, now, recordLag) {
 		return layer.Range{}, false
 	}
-	return h.Held, true
+	return h.Reported, true
 }
--- a/role/gateway/intake.go
+++ b/role/gateway/intake.go
@@ -25,7 +25,7 @@
 	var first time.Time
 	for _, b := range held {
 		t := b.use.intake.Load()
-		if from, known := t.From(now); known && (q.next == nil || from.Before(first)) {
+		if from, known := t.NextSend(now); known && (q.next == nil || from.Before(first)) {
 			q.next, first = b, from
 		}
 		if q.searched || len(q.held) >= maxLoggedHeld {
--- a/role/gateway/isolation.go
+++ b/role/gateway/isolation.go
@@ -43,7 +43,7 @@
 			holders = append(holders, isolation.Holder{ID: b.ID, Hall: b.Hall, Layers: b.usable(now)})
 		}
 	}
-	endpoints = append(endpoints, isolation.Spared(holders)...)
+	endpoints = append(endpoints, isolation.Expendable(holders)...)
 	return isolation.New(list, slices.Sorted(slices.Values(endpoints)))
 }
 
@@ -61,7 +61,7 @@
 			return shortageNone
 		}
 		g.quarantine.Arrived(q.print, now)
-		if endpoint, free := g.isolationPlan(q.service.Name, now).Of(q.print); q.isolationWaited && free {
+		if endpoint, free := g.isolationPlan(q.service.Name, now).Endpoint(q.print); q.isolationWaited && free {
 			q.isolateAt(endpoint)
 			g.Log.Info().Str("request", q.ID).Stringer("print", q.print).Str("endpoint", endpoint).
 				Msg("request is tried apart from others under which endpoints have ended")
--- a/role/gateway/leader.go
+++ b/role/gateway/leader.go
@@ -98,7 +98,7 @@
 // has said that nobody holds it. It waits longer while another gateway reports that it holds the
 // right.
 func (g *Gateway) takeoverDelay(now time.Time) time.Duration {
-	rank := min(g.gossip.Overlay().Turn(leaderKey), maxTakeoverRank)
+	rank := min(g.gossip.Overlay().FleetRank(leaderKey), maxTakeoverRank)
 	if g.leaderHeard(now) {
 		rank = maxTakeoverRank
 	}
@@ -168,7 +168,7 @@
 
 // holdsAny reports whether any card holds layers.
 func holdsAny(cards []spread.Card) bool {
-	return slices.ContainsFunc(cards, func(c spread.Card) bool { return !c.Holds.Empty() })
+	return slices.ContainsFunc(cards, func(c spread.Card) bool { return !c.Layers.Empty() })
 }
 
 // orders gives the orders of a plan, several concurrently. It returns false when another leader has
@@ -202,14 +202,14 @@
 			continue
 		}
 		c := spread.Card{
-			ID: b.ID, Hall: b.Hall, Kind: b.Card, Holds: b.Layers,
+			ID: b.ID, Hall: b.Hall, Kind: b.Card, Layers: b.Layers,
 			InUse: b.use.active.Load()+b.use.othersActive.Load() > 0,
 		}
 		if order := b.use.pendingOrder.Load(); order != nil {
 			if b.Layers == order.layers || now.After(order.until) {
 				b.use.pendingOrder.CompareAndSwap(order, nil)
 			} else {
-				c.Holds, c.Settled = order.layers, true
+				c.Layers, c.Fixed = order.layers, true
 			}
 		}
 		cards = append(cards, c)
--- a/role/gateway/plain.go
+++ b/role/gateway/plain.go
@@ -46,7 +46,7 @@
 		if b == nil {
 			break
 		}
-		if b.use.intake.Take(time.Now()) != throttle.Free {
+		if b.use.intake.Take(time.Now()) != throttle.NotHeld {
 			continue // another request has taken the room meanwhile
 		}
 		if q.everReached.Load() && !g.allowRetry(q, q.cause) {
@@ -89,9 +89,9 @@
 		}
 		hold, passedOver := b.use.intake.Held(now), !q.mayStartAt(b, isolationPlan) || b.use.avoided(now)
 		switch {
-		case hold == throttle.Free && passedOver:
+		case hold == throttle.NotHeld && passedOver:
 			c.spare = b
-		case hold == throttle.Free:
+		case hold == throttle.NotHeld:
 			c.free = append(c.free, b)
 		case hold == throttle.Limited && !passedOver:
 			c.limited = append(c.limited, b)
@@ -139,7 +139,7 @@
 	if b.Hall != g.Hall {
 		score += otherHallWeight
 	}
-	return (score + 1) * (1 + failingWeight*b.use.health.Load().Failing)
+	return (score + 1) * (1 + failingWeight*b.use.health.Load().FailureRate)
 }
 
 // attemptPlain sends the request to a backend. It reports whether the request has ended, or else
@@ -150,7 +150,7 @@
 	until := q.deadline
 	last := !q.route.Repeats() || q.runs()+1 >= q.route.Attempts
 	if !last {
-		wait := q.route.Objective
+		wait := q.route.TargetLatency
 		if wait <= 0 {
 			wait = defaultAnswerWait
 		}
--- a/role/gateway/query.go
+++ b/role/gateway/query.go
@@ -130,7 +130,7 @@
 	if next == nil {
 		return now
 	}
-	if from, known := next.use.intake.Load().From(now); known {
+	if from, known := next.use.intake.Load().NextSend(now); known {
 		return from
 	}
 	return now
--- a/role/gateway/seat.go
+++ b/role/gateway/seat.go
@@ -161,12 +161,12 @@
 			return nil, shortageLayers
 		}
 	}
-	return newReservation(found, need, func(p chain.Part) *backend { return f.byID[p.ID] }), shortageNone
+	return newReservation(found, need, func(p chain.Stage) *backend { return f.byID[p.ID] }), shortageNone
 }
 
 // peerFlow returns how the other gateways use the endpoints of a service.
-func (g *Gateway) peerFlow(service string) unseen.Flow {
-	return unseen.Flow{Told: g.gossip.Every(), Lasts: g.queue.Times.Lasts(service)}
+func (g *Gateway) peerFlow(service string) unseen.Usage {
+	return unseen.Usage{ReportInterval: g.gossip.Every(), HoldTime: g.queue.Times.Lasts(service)}
 }
 
 // maxHeldPicks is the number of endpoints at their announced limit that a search may pick, so that
@@ -190,7 +190,7 @@
 		if !again {
 			first.use.intake.Want(now)
 		}
-		if first.use.intake.Take(now) == throttle.Free {
+		if first.use.intake.Take(now) == throttle.NotHeld {
 			return found, true
 		}
 		c.skipLimited = true
@@ -226,7 +226,7 @@
 	if !ok || found[0] != old.chain[0] {
 		return nil, shortageLayers
 	}
-	return newReservation(found, need, func(p chain.Part) *backend {
+	return newReservation(found, need, func(p chain.Stage) *backend {
 		if b := old.backendOf(p); b != nil {
 			return b // it may have left the fleet, and still runs its requests
 		}
@@ -239,23 +239,23 @@
 // one of this gateway.
 func (s *reservation) promptReadTime(q *query, old *reservation, fleetFactor float64) time.Duration {
 	m := q.service.Model
-	parts := make([]reread.Part, 0, len(s.parts))
+	parts := make([]reread.Reader, 0, len(s.parts))
 	for i, b := range s.parts {
 		if old != nil && old.chain.Uses(b.Address) {
 			continue
 		}
-		parts = append(parts, reread.Part{
-			Own: float64(b.use.reading.Load()), Others: float64(b.use.othersReading.Load()),
-			Share: float64(s.chain[i].Layers.Len()) / float64(m.Layers), Slow: m.Cards[b.Card].Read,
+		parts = append(parts, reread.Reader{
+			OwnPrompts: float64(b.use.reading.Load()), OtherPrompts: float64(b.use.othersReading.Load()),
+			Share: float64(s.chain[i].Layers.Len()) / float64(m.Layers), TimeFactor: m.Cards[b.Card].PromptTimeFactor,
 		})
 	}
 	alone := time.Duration(float64(q.Prompt) / m.ReadRate * float64(time.Second))
-	return reread.Time(parts, alone, fleetFactor)
+	return reread.ReadTime(parts, alone, fleetFactor)
 }
 
 // backendOf returns the backend of the reservation that a part of a chain names, nil for none.
 // Another incarnation with the same ID has another address.
-func (s *reservation) backendOf(p chain.Part) *backend {
+func (s *reservation) backendOf(p chain.Stage) *backend {
 	for _, b := range s.parts {
 		if b.ID == p.ID && b.Address == p.Address {
 			return b
@@ -265,7 +265,7 @@
 }
 
 // newReservation reserves room along a chain. backendOf maps its parts to backends.
-func newReservation(found chain.Chain, need int, backendOf func(chain.Part) *backend) *reservation {
+func newReservation(found chain.Chain, need int, backendOf func(chain.Stage) *backend) *reservation {
 	s := &reservation{chain: found, reading: true}
 	for _, p := range found {
 		b := backendOf(p)
--- a/role/gateway/share.go
+++ b/role/gateway/share.go
@@ -22,7 +22,7 @@
 	g.feed = watchcache.Feed{
 		Store: g.Store, Source: watchhttp.NewClient(), Sources: g.sources, Cache: &g.cache, Log: g.Log,
 		Age:    func() time.Duration { return g.proofAge() },
-		LateIn: func() time.Duration { return g.policy().LateIn(g.proofAge()) },
+		LateIn: func() time.Duration { return g.policy().TimeUntilLate(g.proofAge()) },
 	}
 }
 
@@ -32,10 +32,10 @@
 	o := g.gossip.Overlay()
 	if time.Since(g.started) < firstDigests {
 		o.Others = g.peers.Members(g.Name)
-		o = o.Trusting()
+		o = o.AssumeHallHeard()
 	}
-	next, standby := o.Standbys()
-	for _, m := range append(o.Seats(), next...) {
+	next, standby := o.StandbyStoreReaders()
+	for _, m := range append(o.StoreReaders(), next...) {
 		list = append(list, m.Address)
 	}
 	return list, standby
--- a/role/gateway/share_test.go
+++ b/role/gateway/share_test.go
@@ -121,11 +121,11 @@
 	w.eventually(func() bool { return countQueriers(stores) <= 2 })
 	view := overlay.Overlay{}
 	for _, g := range append(gateways, w.gateway) {
-		view.Others = append(view.Others, overlay.Member{Name: g.Name, Hall: g.Hall, Heard: true})
+		view.Others = append(view.Others, overlay.Member{Name: g.Name, Hall: g.Hall, HeardDirectly: true})
 	}
 	for i := 0; ; i++ {
 		view.Self = overlay.Member{Name: fmt.Sprint("newcomer-", i), Hall: w.gateway.Hall}
-		if _, standby := view.Standbys(); !standby && len(view.Seats()) > 0 {
+		if _, standby := view.StandbyStoreReaders(); !standby && len(view.StoreReaders()) > 0 {
 			break
 		}
 	}
--- a/role/gateway/stream.go
+++ b/role/gateway/stream.go
@@ -168,10 +168,10 @@
 
 // objective returns how soon the first event is wanted.
 func objective(r *catalog.Route) time.Duration {
-	if r.Objective <= 0 {
+	if r.TargetLatency <= 0 {
 		return defaultObjective
 	}
-	return r.Objective
+	return r.TargetLatency
 }
 
 // allowedPause returns the longest pause between two events that the route allows.
--- a/role/gateway/survey.go
+++ b/role/gateway/survey.go
@@ -19,13 +19,13 @@
 		pause.For(ctx, surveyEvery)
 		o, f := g.gossip.Overlay(), g.fleet.Load()
 		for _, hall := range f.halls {
-			if hall != g.Hall && len(o.In(hall)) > 0 {
+			if hall != g.Hall && len(o.PeersIn(hall)) > 0 {
 				continue // its own gateways check its endpoints
 			}
 			for _, b := range f.byHall[hall] {
 				now := time.Now()
-				rests := b.use.intake.Held(now) == throttle.Resting
-				if b.Card != "" && !rests && !b.use.askedLately(now) && !b.use.presumedDead(now) && o.Rank(b.ID, hall) == 0 {
+				rests := b.use.intake.Held(now) == throttle.BackingOff
+				if b.Card != "" && !rests && !b.use.askedLately(now) && !b.use.presumedDead(now) && o.ItemRank(b.ID, hall) == 0 {
 					g.ask(ctx, b)
 				}
 			}
--- a/role/gateway/suspect.go
+++ b/role/gateway/suspect.go
@@ -151,7 +151,7 @@
 // where a check that another gateway passed counts as much as its own. Of the gateways that use a
 // slow endpoint one checks it first, and the others only if no digest reports that check.
 func (g *Gateway) checkBehind(b *backend, now time.Time) {
-	stagger := time.Duration(g.gossip.Overlay().Rank(b.ID, b.Hall)) * checkStagger
+	stagger := time.Duration(g.gossip.Overlay().ItemRank(b.ID, b.Hall)) * checkStagger
 	if now.UnixNano()-b.use.othersCheckedAt.Load() < int64(min(checkedFresh+stagger, checkReportTime)) {
 		return
 	}
@@ -225,7 +225,7 @@
 // replacedBy reports whether a report comes from a later incarnation than the record names. That
 // incarnation holds nothing that the record says.
 func (b *backend) replacedBy(r runner.Report) bool {
-	return endpoint.Endpoint{Born: r.Born}.Follows(b.Endpoint)
+	return endpoint.Endpoint{Born: r.Born}.Supersedes(b.Endpoint)
 }
 
 // noteSilence records that a check, begun at the given time, got no answer from an endpoint, and
@@ -338,7 +338,7 @@
 
 // isChecker reports whether this gateway is one of those that check an endpoint for the others.
 func (g *Gateway) isChecker(b *backend) bool {
-	return g.leading.Load() || g.gossip.Overlay().Rank(b.ID, b.Hall) < checkersEach
+	return g.leading.Load() || g.gossip.Overlay().ItemRank(b.ID, b.Hall) < checkersEach
 }
 
 // recheckDue reports whether an endpoint that is down is to be checked again. Its checkers check it
--- a/role/gateway/try.go
+++ b/role/gateway/try.go
@@ -71,7 +71,7 @@
 	q.everReached.Store(true)
 	t := attempt{answer: answer, reply: g.Dialect.Reply(answer.Status, answer.Header)}
 	g.noteLoad(b, t.reply)
-	t.reply.Word.Sent, t.reply.Word.Heard = q.sentAt, time.Now()
+	t.reply.Word.Sent, t.reply.Word.Received = q.sentAt, time.Now()
 	if isOwnReport(t) {
 		g.throttling.Hear(b.ID, &b.use.intake, t.reply.Word)
 	}
--- a/role/gossip/gossip.go
+++ b/role/gossip/gossip.go
@@ -166,14 +166,14 @@
 	d := s.digest(now, nil, 0)
 	d.EveryMillis = uint32(s.Every().Milliseconds())
 	o := overlay.Overlay{Self: s.Self, Others: s.Peers.Members(s.Self.Name), FlatUpTo: s.FlatUpTo}
-	o.Self.Cut = d.GetCut()
+	o.Self.StoreUnreachable = d.GetCut()
 	s.current.Store(&o)
-	interval := hallInterval * time.Duration(max(len(o.Audience()), overlay.FlatSize)) / overlay.FlatSize
+	interval := hallInterval * time.Duration(max(len(o.DigestPeers()), overlay.FlatSize)) / overlay.FlatSize
 	s.interval.Store(int64(interval))
 	s.Peers.Expire(now, missedDigests, hallInterval)
-	s.send(&wire.Packet{Digest: d}, o.Audience()...)
+	s.send(&wire.Packet{Digest: d}, o.DigestPeers()...)
 	settled := now.Sub(s.started) >= settleRounds*interval // otherwise no peer has been heard yet
-	if settled && o.Delegate() && !now.Before(s.sumsDue) {
+	if settled && o.IsDelegate() && !now.Before(s.sumsDue) {
 		s.sumsDue = now.Add(s.sendSums(o, now))
 	}
 	return interval
@@ -234,7 +234,7 @@
 func (s *Gossip) farewell() {
 	s.number++
 	last := &wire.Digest{Gateway: s.Self.Name, Incarnation: s.Incarnation, Number: s.number, Hall: s.Self.Hall}
-	s.send(&wire.Packet{Digest: last}, s.Overlay().Audience()...)
+	s.send(&wire.Packet{Digest: last}, s.Overlay().DigestPeers()...)
 }
 
 // send sends a datagram to some gateways, as far as the share of the link allows. A lost or dropped
@@ -309,7 +309,7 @@
 	}
 	r := peers.Report{
 		From: overlay.Member{
-			Name: d.GetGateway(), Address: from, Hall: d.GetHall(), Cut: d.GetCut(), LinkMegabits: d.GetLinkMegabits(),
+			Name: d.GetGateway(), Address: from, Hall: d.GetHall(), StoreUnreachable: d.GetCut(), LinkMegabits: d.GetLinkMegabits(),
 		},
 		Incarnation: d.GetIncarnation(), Number: d.GetNumber(), Members: int(d.GetMembers()),
 		Every: millis(d.GetEveryMillis()), Partial: d.GetPartialOutages(),
@@ -334,7 +334,7 @@
 	if r.Members > 0 && !d.GetRelayed() && now.Sub(s.relayed[r.From.Hall]) >= sumsInterval/2 {
 		s.relayed[r.From.Hall] = now
 		d.Relayed, d.Address = true, from
-		s.send(&wire.Packet{Digest: d}, s.Overlay().In(s.Self.Hall)...)
+		s.send(&wire.Packet{Digest: d}, s.Overlay().PeersIn(s.Self.Hall)...)
 	}
 }
 
--- a/role/gossip/gossip_test.go
+++ b/role/gossip/gossip_test.go
@@ -135,7 +135,7 @@
 	var left []*node
 	ended := false
 	for _, n := range all {
-		if !ended && n.Overlay().Delegate() {
+		if !ended && n.Overlay().IsDelegate() {
 			n.stop()
 			ended = true
 			continue
--- a/role/partition/detector.go
+++ b/role/partition/detector.go
@@ -137,7 +137,7 @@
 		return 0, false
 	}
 	for _, p := range d.Peers.Proofs() {
-		if p.From.Hall == d.Hall && d.Policy.Serves(now.Sub(p.At)) {
+		if p.From.Hall == d.Hall && d.Policy.MayServe(now.Sub(p.At)) {
 			return minRetryAfter, true
 		}
 	}
--- a/role/throttling/throttling.go
+++ b/role/throttling/throttling.go
@@ -42,15 +42,15 @@
 }
 
 // Hear processes the limit, backoff period and departure that an endpoint sent with an answer.
-func (t *Throttling) Hear(endpoint string, i *intake.Intake, w throttle.Word) {
+func (t *Throttling) Hear(endpoint string, i *intake.Intake, w throttle.Report) {
 	before, after := i.Hear(w)
-	if after.Unclear() && !before.Unclear() { // log once: the header may come with each answer
-		t.Log.Warn().Str("endpoint", endpoint).Str("header", w.Unclear).Msg("a header of an endpoint is not understood, and not heeded")
+	if after.Unreadable() && !before.Unreadable() { // log once: the header may come with each answer
+		t.Log.Warn().Str("endpoint", endpoint).Str("header", w.Unreadable).Msg("a header of an endpoint is not understood, and not heeded")
 	}
-	if w.Rest > 0 {
-		t.Log.Info().Str("endpoint", endpoint).Dur("rest_ms", w.Rest).Time("until", after.Rest()).Msg("endpoint asks for rest")
+	if w.RetryAfter > 0 {
+		t.Log.Info().Str("endpoint", endpoint).Dur("rest_ms", w.RetryAfter).Time("until", after.BackoffUntil()).Msg("endpoint asks for rest")
 	}
-	t.applyChange(endpoint, i, before, after, w.Heard)
+	t.applyChange(endpoint, i, before, after, w.Received)
 }
 
 // HearOthers processes an endpoint's limit as reported by another gateway, or by one that reports for a hall.
@@ -73,7 +73,7 @@
 	known := i.Load()
 	use.WantedMillis = uint32(max(others.Wanted+int64(known.Demand(now)*peers.WantedUnit), 0))
 	limit := known.Limit()
-	if !known.Tells(now) || limit.Relays > maxRelays(forHall) {
+	if !known.ReportsLimit(now) || limit.Relays > maxRelays(forHall) {
 		return
 	}
 	use.LimitMillis = uint32(min(limit.Rate, maxReportedLimit) * limitUnit)
@@ -107,8 +107,8 @@
 	near, far := t.Peers.Claims(endpoint)
 	own := known.Claim(now, propagationDigests*t.Every())
 	share := apportion.Division{
-		Key: endpoint, Limit: known.Limit().Rate, Fleet: t.Peers.Size(), Near: near, Far: far, Even: apportion.DefaultEven,
-		Own: apportion.Claim{Name: t.Name, Members: 1, Wanted: own},
+		Key: endpoint, Limit: known.Limit().Rate, Fleet: t.Peers.Size(), Individual: near, HallSums: far, EvenShare: apportion.DefaultEvenShare,
+		Own: apportion.Claim{Name: t.Name, Members: 1, Demand: own},
 	}.Share()
 	i.Divide(share, now)
 	return share
--- a/state/budgets/budgets.go
+++ b/state/budgets/budgets.go
@@ -33,7 +33,7 @@
 func (b *Budgets) First(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budgetOf(service).First(now)
+	b.budgetOf(service).CountFirstAttempt(now)
 }
 
 // Allow takes one retry from this process's share of a service's budget at now, and
@@ -48,7 +48,7 @@
 func (b *Budgets) Return(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budgetOf(service).Return()
+	b.budgetOf(service).Refund()
 }
 
 // budgetOf returns the budget of a service, with the reserve for the present number of
--- a/state/intake/intake.go
+++ b/state/intake/intake.go
@@ -30,13 +30,13 @@
 
 // Hear applies the announcement in an answer of the endpoint, and returns the throttle before and
 // after.
-func (i *Intake) Hear(w throttle.Word) (before, after throttle.Throttle) {
-	empty := throttle.Word{Sent: w.Sent, Heard: w.Heard}
+func (i *Intake) Hear(w throttle.Report) (before, after throttle.Throttle) {
+	empty := throttle.Report{Sent: w.Sent, Received: w.Received}
 	if i.current.Load() == nil && w == empty {
 		return before, after // nearly every answer announces nothing
 	}
 	jitter := rand.Float64()
-	return i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithWord(w, jitter) })
+	return i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithReport(w, jitter) })
 }
 
 // update replaces the throttle by the result of change, and returns both. It may call change
@@ -77,28 +77,28 @@
 }
 
 // Take lets a request pass at now and counts it, or returns why it may not pass.
-func (i *Intake) Take(now time.Time) throttle.Hold {
+func (i *Intake) Take(now time.Time) throttle.HoldReason {
 	for {
 		old := i.current.Load()
 		if old == nil {
-			return throttle.Free
+			return throttle.NotHeld
 		}
-		if held := old.Held(now); held != throttle.Free {
+		if held := old.Held(now); held != throttle.NotHeld {
 			return held
 		}
 		next := old.WithRequest(now)
 		if i.current.CompareAndSwap(old, &next) {
-			return throttle.Free
+			return throttle.NotHeld
 		}
 	}
 }
 
 // Held returns why no request may pass at now, Free if one may.
-func (i *Intake) Held(now time.Time) throttle.Hold {
+func (i *Intake) Held(now time.Time) throttle.HoldReason {
 	if t := i.current.Load(); t != nil {
 		return t.Held(now)
 	}
-	return throttle.Free
+	return throttle.NotHeld
 }
 
 // Wait counts a request as waiting for the endpoint until leave is called. It returns the time
@@ -108,7 +108,7 @@
 	ahead := i.waiting.Add(1) - 1
 	leave = func() { i.waiting.Add(-1) }
 	t := i.Load()
-	from, known = t.From(now)
+	from, known = t.NextSend(now)
 	if share := t.Share(); t.Named() && share > 0 {
 		from = from.Add(time.Duration(float64(ahead) / share * float64(time.Second)))
 	}
@@ -118,7 +118,7 @@
 // Tells reports whether the known limit is to be reported to other gateways at now.
 func (i *Intake) Tells(now time.Time) bool {
 	t := i.current.Load()
-	return t != nil && t.Tells(now)
+	return t != nil && t.ReportsLimit(now)
 }
 
 // Silent reports whether the endpoint has never announced anything.
--- a/state/lines/lines.go
+++ b/state/lines/lines.go
@@ -29,10 +29,10 @@
 // share of the links, and reports whether enough was left. It always reports true for a model
 // without a link rate or an amount of data per token.
 func (l *Lines) Allow(m *catalog.Model, tokens, gateways int) bool {
-	if m.LinkRate <= 0 || m.Handed <= 0 {
+	if m.LinkRate <= 0 || m.TransferPerToken <= 0 {
 		return true
 	}
-	perSecond := linkShare * m.LinkRate / m.Handed / crossingsPerChain / float64(gateways)
+	perSecond := linkShare * m.LinkRate / m.TransferPerToken / crossingsPerChain / float64(gateways)
 	if limit := rate.Limit(perSecond); limit != l.limiter.Limit() {
 		l.limiter.SetLimit(limit)
 		l.limiter.SetBurst(int(perSecond * burstTime.Seconds()))
--- a/state/lines/lines_test.go
+++ b/state/lines/lines_test.go
@@ -17,7 +17,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var free lines.Lines
 		require.True(t, free.Allow(new(catalog.Model), 1<<30, 5))
-		m := &catalog.Model{LinkRate: 1e6, Handed: 1000}
+		m := &catalog.Model{LinkRate: 1e6, TransferPerToken: 1000}
 		taken := func(gateways int) int {
 			var l lines.Lines
 			l.Allow(m, 1, gateways)
--- a/state/peers/table.go
+++ b/state/peers/table.go
@@ -242,7 +242,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for key, e := range t.reports {
-		c := apportion.Claim{Name: key.Name, Members: max(e.Members, 1), Wanted: float64(e.Shares[endpoint].Wanted) / WantedUnit}
+		c := apportion.Claim{Name: key.Name, Members: max(e.Members, 1), Demand: float64(e.Shares[endpoint].Wanted) / WantedUnit}
 		if key.Name != "" {
 			near = append(near, c)
 		} else {
@@ -267,7 +267,7 @@
 	}
 	for key, e := range t.reports {
 		m := e.From
-		m.Heard = key.Name != "" // otherwise another gateway reports for it
+		m.HeardDirectly = key.Name != "" // otherwise another gateway reports for it
 		add(m)
 	}
 	for _, a := range t.announced {
--- a/state/roster/departures.go
+++ b/state/roster/departures.go
@@ -91,7 +91,7 @@
 		r.departures = make(map[string]datedDeparture)
 	}
 	former, known := r.departures[d.Endpoint]
-	next := former.With(d)
+	next := former.Merge(d)
 	if next == former.Departure {
 		return false
 	}
--- a/state/roster/roster.go
+++ b/state/roster/roster.go
@@ -57,7 +57,7 @@
 	case known && former.Endpoint == next.Endpoint:
 		r.renew(former, next.Revision)
 		return Same, former
-	case former.Follows(next.Endpoint):
+	case former.Supersedes(next.Endpoint):
 		return Outlived, former
 	}
 	if r.records == nil {
@@ -68,7 +68,7 @@
 	if next.Leaving {
 		r.addDeparture(departure.Departure{Endpoint: next.ID, Born: next.Born, Announced: true, Revision: next.Revision}, next.Since)
 	}
-	if known && next.Follows(former.Endpoint) {
+	if known && next.Supersedes(former.Endpoint) {
 		return Restarted, former
 	}
 	return Changed, former
--- a/state/runonce/runner.go
+++ b/state/runonce/runner.go
@@ -112,7 +112,7 @@
 		}
 		former, why = notRunID, reply.GetDetail()
 		if ctx.Err() != nil {
-			return nil, outcome.Refuse(outcome.DeadlineOver, ctx.Err().Error(), retryAfter)
+			return nil, outcome.Refuse(outcome.DeadlineExceeded, ctx.Err().Error(), retryAfter)
 		}
 		if r.sent && !r.MayRetry() {
 			return nil, outcome.Refuse(outcome.RetryExceeded, why, retryAfter)
@@ -154,7 +154,7 @@
 		return reply, c.ID, nil
 	}
 	return nil, "", &outcome.Report{
-		Kind: outcome.Unknown, Code: outcome.InDoubt, Detail: reply.GetDetail(), RetryAfter: retryAfter,
+		Kind: outcome.Unknown, Code: outcome.Uncertain, Detail: reply.GetDetail(), RetryAfter: retryAfter,
 	}
 }
 
--- a/test/proof/once_test.go
+++ b/test/proof/once_test.go
@@ -54,7 +54,7 @@
 func (h *agent) endpoint() fleet.Endpoint {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return fleet.Endpoint{Name: h.name, Address: h.name, Incarnation: h.incarnation, Epoch: h.calls.Now(time.Now())}
+	return fleet.Endpoint{Name: h.name, Address: h.name, Incarnation: h.incarnation, Epoch: h.calls.EpochAt(time.Now())}
 }
 
 // cluster simulates the agents and records which calls ran, on a virtual clock.
