--- a/adapter/adminhttp/server.go
+++ b/adapter/adminhttp/server.go
@@ -241,7 +241,7 @@
 
 // refuseChange writes why a change was refused, or that its outcome is not known.
 func refuseChange(w http.ResponseWriter, id string, err error) {
-	var uncertain *headlog.InDoubtError
+	var uncertain *headlog.UncertainError
 	if errors.As(err, &uncertain) {
 		answer(w, http.StatusAccepted, Result{Outcome: NotKnown, WriteID: id, Detail: trace.UserMessage(err)})
 		return
--- a/adapter/watchhttp/watch.go
+++ b/adapter/watchhttp/watch.go
@@ -70,8 +70,8 @@
 // Unwrap returns watchcache.ErrRefused: the other gateway has received the request.
 func (e *RefusedError) Unwrap() error { return watchcache.ErrRefused }
 
-// Ask implements watchcache.Source.
-func (c *Client) Ask(ctx context.Context, address string, q watchcache.Question) (watchcache.Answer, error) {
+// Query implements watchcache.Source.
+func (c *Client) Query(ctx context.Context, address string, q watchcache.Request) (watchcache.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, q.Wait+callSlack)
 	defer cancel()
 	query := url.Values{
@@ -93,7 +93,7 @@
 		return watchcache.Answer{}, trace.Wrap(err)
 	}
 	if response.StatusCode == http.StatusGone {
-		return watchcache.Answer{}, trace.Wrap(watchcache.ErrForgotten)
+		return watchcache.Answer{}, trace.Wrap(watchcache.ErrNotRetained)
 	}
 	if response.StatusCode != http.StatusOK {
 		return watchcache.Answer{}, trace.Wrap(&RefusedError{Status: response.StatusCode, Reason: string(text)})
@@ -109,7 +109,7 @@
 func decode(c *wire.Changes) watchcache.Answer {
 	a := watchcache.Answer{
 		At: c.GetAt(), Sum: c.GetSum(), Age: time.Duration(c.GetAgeMicros()) * time.Microsecond,
-		Held: time.Duration(c.GetHeldMicros()) * time.Microsecond,
+		Waited: time.Duration(c.GetHeldMicros()) * time.Microsecond,
 	}
 	for _, p := range c.GetPairs() {
 		a.Pairs = append(a.Pairs, kv.Pair{Key: p.GetKey(), Value: p.GetValue(), Revision: p.GetRevision(), Deleted: p.GetDeleted()})
@@ -121,7 +121,7 @@
 // that the freshness proof never looks newer than it is.
 func encode(a watchcache.Answer) *wire.Changes {
 	c := &wire.Changes{
-		At: a.At, Sum: a.Sum, AgeMicros: uint64(a.Age.Microseconds()) + 1, HeldMicros: uint64(a.Held.Microseconds()),
+		At: a.At, Sum: a.Sum, AgeMicros: uint64(a.Age.Microseconds()) + 1, HeldMicros: uint64(a.Waited.Microseconds()),
 	}
 	for _, p := range a.Pairs {
 		c.Pairs = append(c.Pairs, &wire.Pair{Key: p.Key, Value: p.Value, Revision: p.Revision, Deleted: p.Deleted})
@@ -138,9 +138,9 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		answer, err := h.Ask(r.Context(), q)
+		answer, err := h.Query(r.Context(), q)
 		switch {
-		case errors.Is(err, watchcache.ErrForgotten):
+		case errors.Is(err, watchcache.ErrNotRetained):
 			http.Error(w, err.Error(), http.StatusGone)
 			return
 		case err != nil:
@@ -158,18 +158,18 @@
 }
 
 // parseQuestion decodes the query of a request for changes.
-func parseQuestion(values url.Values) (watchcache.Question, error) {
+func parseQuestion(values url.Values) (watchcache.Request, error) {
 	after, err := strconv.ParseUint(values.Get("after"), 10, 64)
 	if err != nil {
-		return watchcache.Question{}, trace.BadParameter("after: %v", err)
+		return watchcache.Request{}, trace.BadParameter("after: %v", err)
 	}
 	age, err := time.ParseDuration(values.Get("age"))
 	if err != nil {
-		return watchcache.Question{}, trace.BadParameter("age: %v", err)
+		return watchcache.Request{}, trace.BadParameter("age: %v", err)
 	}
 	wait, err := time.ParseDuration(values.Get("wait"))
 	if err != nil {
-		return watchcache.Question{}, trace.BadParameter("wait: %v", err)
+		return watchcache.Request{}, trace.BadParameter("wait: %v", err)
 	}
-	return watchcache.Question{After: after, Age: age, Wait: min(wait, maxWait)}, nil
+	return watchcache.Request{After: after, Age: age, Wait: min(wait, maxWait)}, nil
 }
--- a/port/kv/feed.go
+++ b/port/kv/feed.go
@@ -18,9 +18,9 @@
 	// Lag before the call was sent. It is 0 in pages of the store itself, and negative if
 	// another process held the call until it had newer data.
 	Lag time.Duration
-	// Paced is set if the process that answered limits the rate of calls, so that the
+	// RateLimited is set if the process that answered limits the rate of calls, so that the
 	// caller need not.
-	Paced bool
+	RateLimited bool
 }
 
 // Feed reads a store together with its revision, so that a copy can be kept current. All
--- a/port/kv/store.go
+++ b/port/kv/store.go
@@ -24,8 +24,8 @@
 type Write struct {
 	Key   string
 	Value []byte
-	// If is the revision that the key must have; 0 means that it must not exist.
-	If uint64
+	// IfRevision is the revision that the key must have; 0 means that it must not exist.
+	IfRevision uint64
 	// Lease is the lease with which the key expires, empty for none.
 	Lease string
 }
@@ -63,8 +63,8 @@
 	return fmt.Sprintf("no key %q in the store", e.Key)
 }
 
-// Missing reports whether err is or wraps a NotFoundError.
-func Missing(err error) bool {
+// IsNotFound reports whether err is or wraps a NotFoundError.
+func IsNotFound(err error) bool {
 	var missing *NotFoundError
 	return errors.As(err, &missing)
 }
@@ -96,19 +96,19 @@
 	return e.Err
 }
 
-// UnaskedError reports a read that was not sent to the store: this process queries other
+// NotSentError reports a read that was not sent to the store: this process queries other
 // processes in place of the store, and none of them had an answer. It does not mean that
 // the store is unavailable.
-type UnaskedError struct {
+type NotSentError struct {
 	Err error
 }
 
 // Error returns the cause.
-func (e *UnaskedError) Error() string {
+func (e *NotSentError) Error() string {
 	return "the store was not asked: " + e.Err.Error()
 }
 
 // Unwrap returns the cause.
-func (e *UnaskedError) Unwrap() error {
+func (e *NotSentError) Unwrap() error {
 	return e.Err
 }
--- a/port/runner/control.go
+++ b/port/runner/control.go
@@ -48,9 +48,9 @@
 	After uint64
 	// Layers is the range of layers to hold in place of the present one.
 	Layers layer.Range
-	// Cut tells the endpoint to abort the requests that still pass through the layers that
+	// Abort tells the endpoint to abort the requests that still pass through the layers that
 	// it gives up. Otherwise it waits for them to end.
-	Cut bool
+	Abort bool
 }
 
 // Control sends control calls to endpoints. Its methods are safe for concurrent use. After
@@ -71,9 +71,9 @@
 	Status int
 	// Fenced is set if the endpoint has seen an order with a higher fence.
 	Fenced bool
-	// Blamed is the address of the endpoint that cannot take its share of a chain, empty
+	// RefusedBy is the address of the endpoint that cannot take its share of a chain, empty
 	// for none.
-	Blamed string
+	RefusedBy string
 }
 
 // Error returns the reason for the refusal.
--- a/role/admission/line.go
+++ b/role/admission/line.go
@@ -113,7 +113,7 @@
 // request waits only while its first event can still meet the objective, since its caller can
 // retry. Any other request waits for as long as a caller bears to wait for the first event.
 func (l *Line[G]) Turn(r Request, now time.Time) Turn {
-	firstEvent := l.Times.First(r.Service)
+	firstEvent := l.Times.ExpectedFirst(r.Service)
 	if urgent := l.urgency(r, now); urgent != urgency.New {
 		return Turn{Urgency: urgent, Until: now.Add(lateWaitObjectives*r.Objective - firstEvent)}
 	}
@@ -171,7 +171,7 @@
 // admissions in requests per second from which the delay was computed.
 func (l *Line[G]) ComeBack(r Request, now time.Time) (time.Duration, float64) {
 	l.refusedAt.Store(now.UnixNano())
-	load := comeback.Load{Admitted: l.ready().Admitted(r.Service), RequestDuration: l.Times.Lasts(r.Service)}
+	load := comeback.Load{Admitted: l.ready().Admitted(r.Service), RequestDuration: l.Times.Duration(r.Service)}
 	maxDelay := time.Duration(maxRetryAfterShare * float64(r.Deadline.Sub(now)))
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/role/admission/line_test.go
+++ b/role/admission/line_test.go
@@ -74,7 +74,7 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.refusals++
-		if known := p.line.Times.Lasts("assistant"); wait < known {
+		if known := p.line.Times.Duration("assistant"); wait < known {
 			p.tooEarly++
 		}
 		return false, wait
@@ -90,7 +90,7 @@
 	}
 	p.mu.Unlock()
 	time.Sleep(streamTime - firstEventTime)
-	p.line.Times.NoteWhole("assistant", time.Since(sent))
+	p.line.Times.NoteDuration("assistant", time.Since(sent))
 	p.leave()
 	return true, 0
 }
--- a/role/announcer/announcer.go
+++ b/role/announcer/announcer.go
@@ -126,7 +126,7 @@
 		a.Log.Error().Err(err).Msg("announcement not encoded")
 		return
 	}
-	revision, err := a.Store.Put(ctx, kv.Write{Key: a.key(), Value: value, If: own.Revision})
+	revision, err := a.Store.Put(ctx, kv.Write{Key: a.key(), Value: value, IfRevision: own.Revision})
 	if err != nil {
 		a.Log.Info().Err(err).Uint64("former_revision", own.Revision).Msg("this gateway is not announced")
 		return
@@ -138,7 +138,7 @@
 // that.
 func (a *Announcer) prune(ctx context.Context, now time.Time) {
 	silent := a.Peers.Silent(now, pruneAfter)
-	if len(silent) == 0 || 2*a.Peers.Heard() < len(silent) {
+	if len(silent) == 0 || 2*a.Peers.CountDirect() < len(silent) {
 		return // a gateway that hears few of the others is itself cut off
 	}
 	o := a.Overlay()
@@ -155,7 +155,7 @@
 		return
 	}
 	err := a.Store.Remove(ctx, ended)
-	a.Log.Info().Strs("gateways", names).Int("silent", len(silent)).Int("heard", a.Peers.Heard()).AnErr("error", err).
+	a.Log.Info().Strs("gateways", names).Int("silent", len(silent)).Int("heard", a.Peers.CountDirect()).AnErr("error", err).
 		Msg("announcements of gateways that have ended are removed")
 }
 
--- a/role/announcer/announcer_test.go
+++ b/role/announcer/announcer_test.go
@@ -43,7 +43,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls["write"]++
-	if w.If != s.pairs[w.Key].Revision {
+	if w.IfRevision != s.pairs[w.Key].Revision {
 		return 0, &kv.ConflictError{Key: w.Key}
 	}
 	s.revision++
@@ -158,14 +158,14 @@
 	for _, l := range all {
 		for _, other := range all {
 			if other != l && other.Self.Hall == l.Self.Hall {
-				l.Peers.Hear(peers.Report{From: other.Self, Number: number}, l.Self, now)
+				l.Peers.AddReport(peers.Report{From: other.Self, Number: number}, l.Self, now)
 			}
 		}
 		for _, hall := range halls {
-			l.Peers.Hear(peers.Report{From: overlay.Member{Name: "speaker", Hall: hall}, Number: number, Members: 3}, l.Self, now)
+			l.Peers.AddReport(peers.Report{From: overlay.Member{Name: "speaker", Hall: hall}, Number: number, Members: 3}, l.Self, now)
 		}
 		l.Peers.Expire(now, 6, time.Second)
-		l.Peers.Miss(now, 8*time.Second)
+		l.Peers.MarkAbsent(now, 8*time.Second)
 	}
 }
 
--- a/role/entry/call.go
+++ b/role/entry/call.go
@@ -94,12 +94,12 @@
 }
 
 var (
-	_ runonce.Agents = (*call)(nil)
-	_ runonce.Seats  = (*call)(nil)
+	_ runonce.Agents       = (*call)(nil)
+	_ runonce.Reservations = (*call)(nil)
 )
 
-// Enter implements runonce.Seats.
-func (c *call) Enter(ctx context.Context, avoid map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
+// Reserve implements runonce.Seats.
+func (c *call) Reserve(ctx context.Context, avoid map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
 	s, report := c.entry.gate.Enter(ctx, gate.Ticket[*reservation]{
 		Lane: c.request.Service, Team: c.request.Team, Weight: c.weight, Priority: c.decision.Priority, Cost: 1,
 		Try: func() (*reservation, gate.Answer) { return c.entry.reserveEndpoint(c.request.Service, avoid) },
@@ -164,7 +164,7 @@
 	ran := false
 	avoid := make(map[string]bool)
 	for why := "least loaded"; ; {
-		at, leave, report := c.Enter(ctx, avoid)
+		at, leave, report := c.Reserve(ctx, avoid)
 		if report != nil {
 			return router.Reply{}, withRan(ran, report)
 		}
--- a/role/entry/entry.go
+++ b/role/entry/entry.go
@@ -137,7 +137,7 @@
 	e.incarnation = uint64(time.Now().UnixNano())
 	e.config = replica.New()
 	e.changes = conflog.New(e.Store, e.config)
-	e.claims = &claimlog.Log{Store: e.Store, Keep: e.ClaimKeep, Gather: claimBatchDelay, Timeout: claimTimeout}
+	e.claims = &claimlog.Log{Store: e.Store, Retention: e.ClaimKeep, BatchDelay: claimBatchDelay, Timeout: claimTimeout}
 	e.gate.MaxQueue = e.MaxQueue
 	e.view = view.View{HomeHall: e.Hall, Links: e.Links, Expiry: e.Expiry}
 	e.peers = member.Set{Retention: peerTTL}
--- a/role/entry/follow.go
+++ b/role/entry/follow.go
@@ -21,7 +21,7 @@
 	}
 	entries := e.peers.Shared()
 	e.mu.Unlock()
-	reply, err := e.config.Since(r.GetRevision())
+	reply, err := e.config.UpdatesSince(r.GetRevision())
 	if err == nil && r.GetEntriesHash() != agent.EntriesHash(entries) {
 		reply.Entries = entries
 	}
@@ -91,7 +91,7 @@
 		e.peers.RecordReported(time.Now(), p)
 	}
 	e.mu.Unlock()
-	if err := e.config.Take(reply); err != nil {
+	if err := e.config.ApplyReply(reply); err != nil {
 		e.Log.Error().Err(err).Str("peer", address).Msg("changes from peer not applied")
 	}
 }
--- a/role/gateway/admission.go
+++ b/role/gateway/admission.go
@@ -13,7 +13,7 @@
 func (q *query) waiting() admission.Request {
 	return admission.Request{
 		Service: q.service.Name, Team: q.team, Priority: maxPriority - q.priority,
-		Route: q.route.Timeout, Patience: q.Patience, Objective: objective(q.route),
+		Route: q.route.Timeout, Patience: q.Timeout, Objective: objective(q.route),
 		Start: q.start, Deadline: q.deadline, Returned: q.returned, Begun: q.everReached.Load(),
 	}
 }
--- a/role/gateway/digest.go
+++ b/role/gateway/digest.go
@@ -15,12 +15,12 @@
 
 // Digest returns the use that this gateway makes of endpoints at now, plus that of others in its
 // hall.
-func (g *Gateway) Digest(now time.Time, others map[string]peers.Share) *gossip.Digest {
+func (g *Gateway) Digest(now time.Time, others map[string]peers.Usage) *gossip.Digest {
 	d := &gossip.Digest{
 		Proven:         g.loaded.Load() && !g.failing.Load(),
 		ProofAgeMillis: uint32(max(g.proofAge().Milliseconds(), 0)),
 		Leading:        g.leading.Load(),
-		Cut:            g.feed.Cut(now),
+		Cut:            g.feed.StoreFailedRecently(now),
 		Suspects:       g.quarantine.Told(now),
 	}
 	if others == nil { // a hall's digest does not repeat what its gateways say themselves
@@ -31,7 +31,7 @@
 	}
 	g.membership.Tell(d, now)
 	for id, b := range g.fleet.Load().byID {
-		if b.use.unused(now) && (others == nil || others[id] == peers.Share{}) {
+		if b.use.unused(now) && (others == nil || others[id] == peers.Usage{}) {
 			continue // the case of most endpoints of a large fleet
 		}
 		checked := b.use.checkedAt.Load()
@@ -61,14 +61,14 @@
 	at := now.UnixNano()
 	latest := max(u.checkedAt.Load(), u.othersCheckedAt.Load())
 	return u.active.Load() == 0 && u.held.Load() == 0 && !u.down() && at >= u.stalledUntil.Load() &&
-		at-latest >= int64(checkReportTime) && u.pendingOrder.Load() == nil && !u.intake.Tells(now)
+		at-latest >= int64(checkReportTime) && u.pendingOrder.Load() == nil && !u.intake.Reportable(now)
 }
 
 // digestEntry returns the digest entry of an endpoint at now, plus the use by others; checked is
 // when it last passed a check, in nanoseconds of Unix time.
-func (u *usage) digestEntry(now time.Time, others peers.Share, checked int64) *gossip.Use {
-	s := peers.Share{
-		Active: u.active.Load(), Entered: u.entered.Load(), Held: u.held.Load(), Reading: u.reading.Load(),
+func (u *usage) digestEntry(now time.Time, others peers.Usage, checked int64) *gossip.Use {
+	s := peers.Usage{
+		Active: u.active.Load(), Entered: u.entered.Load(), Held: u.held.Load(), Prefilling: u.reading.Load(),
 	}
 	if u.down() && now.UnixNano()-u.silentAt.Load() < int64(reportFresh) {
 		s.Down = 1
@@ -76,7 +76,7 @@
 	s = s.Plus(others)
 	use := &gossip.Use{
 		Active: uint32(max(s.Active, 0)), Entered: uint32(max(s.Entered, 0)), Held: uint64(max(s.Held, 0)),
-		Reading: uint32(max(s.Reading, 0)), Down: uint32(max(s.Down, 0)),
+		Reading: uint32(max(s.Prefilling, 0)), Down: uint32(max(s.Down, 0)),
 		AvoidedMillis: uint32(max((u.stalledUntil.Load()-now.UnixNano())/int64(time.Millisecond), 0)),
 	}
 	if age := now.UnixNano() - checked; age < int64(checkReportTime) {
@@ -159,7 +159,7 @@
 		return
 	}
 	isNew := b.use.witnesses.Count(now) == 0
-	if b.use.witnesses.Say(from, now) >= enoughWitnesses && !b.use.contradicted(now) {
+	if b.use.witnesses.Report(from, now) >= enoughWitnesses && !b.use.contradicted(now) {
 		g.believeDown(b, now)
 	}
 	switch {
--- a/role/gateway/fleet.go
+++ b/role/gateway/fleet.go
@@ -95,7 +95,7 @@
 	// meanwhile, in nanoseconds of Unix time.
 	reportedDownSince, contradictedUntil atomic.Int64
 	// witnesses are the other gateways that report it down.
-	witnesses witnesses.Witnesses
+	witnesses witnesses.Reporters
 	// begun are the requests that it had just started when it was found silent, nil once it is
 	// known whether it has ended.
 	begun atomic.Pointer[[]suspects.Begun]
@@ -125,17 +125,17 @@
 
 // newUsage returns the usage of an endpoint that is not used yet.
 func newUsage() *usage {
-	u := &usage{witnesses: witnesses.Witnesses{Fresh: reportFresh}}
+	u := &usage{witnesses: witnesses.Reporters{ReportLifetime: reportFresh}}
 	u.health.Store(new(health.Record))
 	return u
 }
 
 // Count adds the share of another gateway at the endpoint.
-func (u *usage) Count(s peers.Share) {
+func (u *usage) Count(s peers.Usage) {
 	u.othersActive.Add(s.Active)
 	u.othersEntered.Add(s.Entered)
 	u.othersHeld.Add(s.Held)
-	u.othersReading.Add(s.Reading)
+	u.othersReading.Add(s.Prefilling)
 	u.othersDown.Add(s.Down)
 }
 
--- a/role/gateway/follow.go
+++ b/role/gateway/follow.go
@@ -28,10 +28,10 @@
 // follow keeps the gateway's view of the store current until ctx ends.
 func (g *Gateway) follow(ctx context.Context) {
 	m := mirror.Mirror{
-		Feed: &g.feed, Wait: g.policy().WatchTimeout(), Settle: min(changesSettle, g.policy().WatchTimeout()), Grace: lapseGrace,
-		Now: g.Clock, Refresh: g.refreshed, Put: g.put, Gone: g.gone, Partial: g.partial, Unhurried: g.fleetStarting, Unproven: g.unproven, Confirm: g.confirm,
+		Feed: &g.feed, Wait: g.policy().WatchTimeout(), MinInterval: min(changesSettle, g.policy().WatchTimeout()), Grace: lapseGrace,
+		Now: g.Clock, Refresh: g.refreshed, Put: g.put, Removed: g.gone, ConfirmPartial: g.partial, Unhurried: g.fleetStarting, Unproven: g.unproven, Confirm: g.confirm,
 		Log: g.Log,
-		Lost: func(err error) {
+		StoreFailed: func(err error) {
 			g.failing.Store(true)
 			g.gossip.News() // so that the others check whether they have lost it too
 			g.Log.Warn().Err(err).Dur("proof_age_ms", g.proofAge()).Msg("the store does not answer")
--- a/role/gateway/gateway.go
+++ b/role/gateway/gateway.go
@@ -117,7 +117,7 @@
 	// refreshed ends the pause between two requests for changes.
 	refreshed chan struct{}
 	// running counts the requests in flight; it is closed before the process ends.
-	running turnstile.Turnstile
+	running turnstile.Counter
 	pool    upstream.Pool
 	peers   peers.Table
 	gossip  gossip.Gossip
@@ -131,7 +131,7 @@
 	feed   watchcache.Feed
 	cache  watchcache.Cache
 	probes probe.Prober
-	lines  lines.Lines
+	lines  lines.Limiter
 
 	// leading is set while this gateway gives orders, hasLeaderKey while the store holds the key of
 	// any leader.
--- a/role/gateway/handler.go
+++ b/role/gateway/handler.go
@@ -67,8 +67,8 @@
 // admit checks a request and reports whether it is to be served. When it returns false it has
 // answered the request.
 func (g *Gateway) admit(q *query) bool {
-	ask, err := g.Dialect.Ask(q.r.Header)
-	q.Ask = ask
+	ask, err := g.Dialect.CallerHeaders(q.r.Header)
+	q.RequestHeaders = ask
 	if err != nil || ask.ID == "" {
 		g.reject(q, http.StatusBadRequest, "the request has no ID, or a header that cannot be read")
 		return false
@@ -91,7 +91,7 @@
 	q.print = fingerprint.Of(fingerprint.Request{
 		Method: q.r.Method, Host: q.r.Host, Target: q.r.RequestURI, Team: q.team, Body: q.body,
 	})
-	q.deadline = q.start.Add(requestTimeout(q.Patience, route.Timeout))
+	q.deadline = q.start.Add(requestTimeout(q.Timeout, route.Timeout))
 	q.service = c.Services[route.Service(xxhash.Sum64String(q.ID))]
 	if q.service == nil {
 		g.refuse(q, retryAfterStore, "the service of the route is not configured")
@@ -104,7 +104,7 @@
 		g.refuse(q, retryAfterStore, "the store has not been read yet")
 		return false
 	}
-	g.retries.First(q.service.Name, time.Now())
+	g.retries.CountFirstAttempt(q.service.Name, time.Now())
 	// A request under which three endpoints have ended would crash every endpoint that runs it: in
 	// a fleet of 33, such requests ended endpoints 57 times in 90 s.
 	if left := g.quarantine.Left(q.print, q.start); left > 0 {
@@ -264,8 +264,8 @@
 		line = line.Str("endpoint", q.last.ID).Uint64("record_revision", q.last.Revision).
 			Dur("record_age_ms", q.sentAt.Sub(q.last.Since))
 	}
-	if q.route != nil && q.Patience > 0 { // for a caller that retries: the time that its earlier attempts took
-		line = line.Dur("under_route_ms", max(q.route.Timeout-q.Patience, 0))
+	if q.route != nil && q.Timeout > 0 { // for a caller that retries: the time that its earlier attempts took
+		line = line.Dur("under_route_ms", max(q.route.Timeout-q.Timeout, 0))
 	}
 	if q.service != nil && q.service.Model != nil {
 		line = line.Dur("waited_ms", q.waited).Int("ahead", q.ahead).Bool("returned", q.returned)
--- a/role/gateway/leader.go
+++ b/role/gateway/leader.go
@@ -127,7 +127,7 @@
 		if now := time.Now(); now.Sub(renewed) >= renewEvery {
 			if err := o.g.Store.KeepAlive(ctx, o.lease); err == nil {
 				renewed = now
-			} else if kv.Missing(err) || now.Sub(renewed) > leaderLease {
+			} else if kv.IsNotFound(err) || now.Sub(renewed) > leaderLease {
 				o.g.Log.Warn().Err(err).Uint64("fence", o.fence).Msg("the right to give orders is lost")
 				return
 			}
--- a/role/gateway/order.go
+++ b/role/gateway/order.go
@@ -46,7 +46,7 @@
 func (o *leader) order(ctx context.Context, b *backend, layers layer.Range) orderResult {
 	ctx, cancel := context.WithTimeout(ctx, leaderLease)
 	defer cancel()
-	unused := b.use.active.Load()+b.use.othersActive.Load() == 0 && o.g.peers.AllHeard(o.g.Name)
+	unused := b.use.active.Load()+b.use.othersActive.Load() == 0 && o.g.peers.AllCovered(o.g.Name)
 	report, err := o.g.Runners.Report(ctx, b.Address)
 	result := orderTaken
 	switch {
@@ -57,7 +57,7 @@
 		result = orderStale
 	default:
 		err = o.g.Runners.Place(ctx, b.Address, runner.Order{
-			Fence: o.fence, After: report.Orders, Layers: layers, Cut: unused,
+			Fence: o.fence, After: report.Orders, Layers: layers, Abort: unused,
 		})
 	}
 	if err != nil {
--- a/role/gateway/plain.go
+++ b/role/gateway/plain.go
@@ -109,7 +109,7 @@
 	now := time.Now()
 	c := g.candidates(q, now)
 	if wanted := g.leastLoaded(slices.Concat(c.free, c.limited), now); wanted != nil && !q.hasSearched() {
-		wanted.use.intake.Want(now)
+		wanted.use.intake.CountDemand(now)
 	}
 	g.noteHeld(q, slices.Concat(c.limited, c.resting), now)
 	if best := g.leastLoaded(c.free, now); best != nil {
@@ -164,7 +164,7 @@
 		g.Log.Info().Str("request", q.ID).Str("endpoint", b.ID).Str("address", b.Address).
 			Uint64("version", q.version).Msg("request is sent")
 	}
-	t := g.send(ctx, q, b, nil, q.After)
+	t := g.send(ctx, q, b, nil, q.LastEvent)
 	if t.answer != nil {
 		defer t.answer.Close()
 	}
--- a/role/gateway/quarantine.go
+++ b/role/gateway/quarantine.go
@@ -19,8 +19,8 @@
 }
 
 // incarnation returns the incarnation that the record of the endpoint names.
-func (b *backend) incarnation() suspects.Life {
-	return suspects.Life{Endpoint: b.ID, Born: b.Born}
+func (b *backend) incarnation() suspects.Incarnation {
+	return suspects.Incarnation{Endpoint: b.ID, Born: b.Born}
 }
 
 // endedAfterSilence records at now that an endpoint that had been found silent has certainly ended:
@@ -50,13 +50,13 @@
 	}
 	g.verify(q.r.Context(), b)
 	if b.use.ended.Load() {
-		g.quarantine.Report(b.incarnation(), []suspects.Begun{{Print: q.print, Tried: q.isolatedAt() == b.ID}}, time.Now())
+		g.quarantine.Report(b.incarnation(), []suspects.Begun{{Fingerprint: q.print, TriedIsolated: q.isolatedAt() == b.ID}}, time.Now())
 	}
 }
 
 // incarnationOver reports whether an incarnation has certainly ended: its record is gone or names
 // another incarnation, or the endpoint does not answer. Otherwise the endpoint is checked.
-func (g *Gateway) incarnationOver(l suspects.Life) bool {
+func (g *Gateway) incarnationOver(l suspects.Incarnation) bool {
 	b := g.fleet.Load().byID[l.Endpoint]
 	if b == nil || b.Born != 0 && l.Born != 0 && b.Born != l.Born || b.use.presumedDead(time.Now()) || b.use.ended.Load() {
 		return true
--- a/role/gateway/query.go
+++ b/role/gateway/query.go
@@ -18,7 +18,7 @@
 	w http.ResponseWriter
 	r *http.Request
 
-	exchange.Ask
+	exchange.RequestHeaders
 	route   *catalog.Route
 	service *catalog.Service
 	team    string
--- a/role/gateway/seat.go
+++ b/role/gateway/seat.go
@@ -81,7 +81,7 @@
 // tokens returns the estimated number of tokens for which the request needs memory.
 func (q *query) tokens() int {
 	m := q.service.Model
-	prompt, likely := q.Prompt, q.LikelyAnswer
+	prompt, likely := q.Prompt, q.ExpectedAnswer
 	if prompt == 0 {
 		prompt = m.Prompt
 	}
@@ -166,7 +166,7 @@
 
 // peerFlow returns how the other gateways use the endpoints of a service.
 func (g *Gateway) peerFlow(service string) unseen.Usage {
-	return unseen.Usage{ReportInterval: g.gossip.Every(), HoldTime: g.queue.Times.Lasts(service)}
+	return unseen.Usage{ReportInterval: g.gossip.Every(), HoldTime: g.queue.Times.Duration(service)}
 }
 
 // maxHeldPicks is the number of endpoints at their announced limit that a search may pick, so that
@@ -188,7 +188,7 @@
 		}
 		first := f.byID[found[0].ID]
 		if !again {
-			first.use.intake.Want(now)
+			first.use.intake.CountDemand(now)
 		}
 		if first.use.intake.Take(now) == throttle.NotHeld {
 			return found, true
--- a/role/gateway/stream.go
+++ b/role/gateway/stream.go
@@ -61,7 +61,7 @@
 // look complete.
 func (g *Gateway) serveModel(q *query) bool {
 	q.returned = g.queue.Arrive(q.waiting())
-	s := &relay{g: g, q: q, last: q.After, flush: http.NewResponseController(q.w)}
+	s := &relay{g: g, q: q, last: q.LastEvent, flush: http.NewResponseController(q.w)}
 	reason := ""
 	for s.maySendAgain() {
 		reservation, short := s.reservation()
@@ -148,7 +148,7 @@
 		}
 	}
 	if short != shortageNone && retry {
-		s.g.retries.Return(s.q.service.Name)
+		s.g.retries.Refund(s.q.service.Name)
 	}
 	return taken, short
 }
@@ -221,8 +221,8 @@
 // noteRefusal records which endpoint of a chain refused.
 func (s *relay) noteRefusal(reservation *reservation, t attempt) {
 	address := reservation.first.Address
-	if t.answer != nil && t.reply.Blamed != "" {
-		address = t.reply.Blamed
+	if t.answer != nil && t.reply.RefusedBy != "" {
+		address = t.reply.RefusedBy
 	}
 	s.q.avoid(address)
 	if b := s.g.fleet.Load().byAddress[address]; b != nil {
@@ -321,7 +321,7 @@
 	_ = s.flush.SetWriteDeadline(time.Time{}) // the next answer sets its own
 	s.q.setOutcome(t.answer.Status, outcomeServed, "")
 	s.g.quarantine.Survived(s.q.print, time.Now())
-	s.g.queue.Times.NoteWhole(s.q.service.Name, time.Since(s.sentAt))
+	s.g.queue.Times.NoteDuration(s.q.service.Name, time.Since(s.sentAt))
 	return ""
 }
 
--- a/role/gateway/try.go
+++ b/role/gateway/try.go
@@ -29,7 +29,7 @@
 // attempt is one send of a request.
 type attempt struct {
 	answer *upstream.Answer
-	reply  exchange.Reply
+	reply  exchange.ReplyHeaders
 	verdict
 	// err is the reason why there is no proper answer.
 	err error
@@ -50,14 +50,14 @@
 	q.last, q.sentAt = b, time.Now()
 	q.reached.Store(false)
 	header := q.r.Header.Clone()
-	g.Dialect.Send(header, exchange.Send{
-		Team: q.team, Left: q.timeLeft(time.Now()), Endpoint: b.ID, Priority: q.priority, Chain: c, After: after,
+	g.Dialect.ForwardHeaders(header, exchange.EndpointHeaders{
+		Team: q.team, TimeLeft: q.timeLeft(time.Now()), Endpoint: b.ID, Priority: q.priority, Chain: c, LastEvent: after,
 	})
 	call := upstream.Call{
 		Address: b.Address, Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host, Header: header,
 		Body: q.body, HasBody: q.hasBody, Rest: maxConnIdle, Wrote: func() { q.reached.Store(true) },
 		Mine: func(h http.Header) bool {
-			id := g.Dialect.Reply(0, h).ID
+			id := g.Dialect.AnswerHeaders(0, h).ID
 			return id == q.ID || id == "" // a refusal need not carry the request ID
 		},
 	}
@@ -69,11 +69,11 @@
 		return g.sendFailed(ctx, q, b, err)
 	}
 	q.everReached.Store(true)
-	t := attempt{answer: answer, reply: g.Dialect.Reply(answer.Status, answer.Header)}
+	t := attempt{answer: answer, reply: g.Dialect.AnswerHeaders(answer.Status, answer.Header)}
 	g.noteLoad(b, t.reply)
-	t.reply.Word.Sent, t.reply.Word.Received = q.sentAt, time.Now()
+	t.reply.Report.Sent, t.reply.Report.Received = q.sentAt, time.Now()
 	if isOwnReport(t) {
-		g.throttling.Hear(b.ID, &b.use.intake, t.reply.Word)
+		g.throttling.Hear(b.ID, &b.use.intake, t.reply.Report)
 	}
 	switch {
 	case t.reply.NotRun:
@@ -132,7 +132,7 @@
 }
 
 // noteLoad records the load that an endpoint reports with its answer.
-func (g *Gateway) noteLoad(b *backend, r exchange.Reply) {
+func (g *Gateway) noteLoad(b *backend, r exchange.ReplyHeaders) {
 	if r.Slots > 0 {
 		b.use.waiting.Store(int64(r.Waiting))
 		b.use.loadReportedAt.Store(time.Now().UnixNano())
--- a/role/gateway/watchdog.go
+++ b/role/gateway/watchdog.go
@@ -233,7 +233,7 @@
 	}
 	if !reread.ShouldRestart(wait, next.promptReadTime(q, nil, 1), slack) || !w.abandonFor(next) {
 		next.release()
-		w.relay.g.retries.Return(q.service.Name)
+		w.relay.g.retries.Refund(q.service.Name)
 		return false
 	}
 	w.relay.g.Log.Info().Str("request", q.ID).Str("lost", lost.Address).Dur("wait_ms", wait).
@@ -351,10 +351,10 @@
 		}
 		next.release()
 		var refused *runner.RefusedError
-		if !errors.As(err, &refused) || refused.Blamed == "" {
+		if !errors.As(err, &refused) || refused.RefusedBy == "" {
 			return false
 		}
-		address = refused.Blamed
+		address = refused.RefusedBy
 		q.avoid(address)
 	}
 	return false
--- a/role/gossip/gossip.go
+++ b/role/gossip/gossip.go
@@ -60,7 +60,7 @@
 type Local interface {
 	// Digest returns the gateway's usage without the fields that identify the sender. For the sums
 	// of a hall, others holds the shares of its other gateways, which are added.
-	Digest(now time.Time, others map[string]peers.Share) *wire.Digest
+	Digest(now time.Time, others map[string]peers.Usage) *wire.Digest
 	// Heard handles a digest of another gateway whose shares have been counted.
 	Heard(d *wire.Digest, now time.Time)
 	// Lost handles the report that an endpoint does not answer another gateway.
@@ -162,7 +162,7 @@
 // round sends the digests that are due at now, and returns the time until the next round.
 func (s *Gossip) round(now time.Time) time.Duration {
 	s.Local.Tick(now)
-	s.Peers.Miss(now, max(missedDigestsAnnounced*s.Every(), minAbsence))
+	s.Peers.MarkAbsent(now, max(missedDigestsAnnounced*s.Every(), minAbsence))
 	d := s.digest(now, nil, 0)
 	d.EveryMillis = uint32(s.Every().Milliseconds())
 	o := overlay.Overlay{Self: s.Self, Others: s.Peers.Members(s.Self.Name), FlatUpTo: s.FlatUpTo}
@@ -202,7 +202,7 @@
 }
 
 // digest returns this gateway's own usage, or with members the sums of its hall.
-func (s *Gossip) digest(now time.Time, others map[string]peers.Share, members int) *wire.Digest {
+func (s *Gossip) digest(now time.Time, others map[string]peers.Usage, members int) *wire.Digest {
 	s.number++
 	d := s.Local.Digest(now, others)
 	d.Gateway, d.Incarnation, d.Number, d.Hall = s.Self.Name, s.Incarnation, s.number, s.Self.Hall
@@ -312,8 +312,8 @@
 			Name: d.GetGateway(), Address: from, Hall: d.GetHall(), StoreUnreachable: d.GetCut(), LinkMegabits: d.GetLinkMegabits(),
 		},
 		Incarnation: d.GetIncarnation(), Number: d.GetNumber(), Members: int(d.GetMembers()),
-		Every: millis(d.GetEveryMillis()), Partial: d.GetPartialOutages(),
-		Shares: make(map[string]peers.Share, len(d.GetUses())),
+		Interval: millis(d.GetEveryMillis()), Partial: d.GetPartialOutages(),
+		Shares: make(map[string]peers.Usage, len(d.GetUses())),
 	}
 	if d.GetRelayed() {
 		r.From.Address = d.GetAddress()
@@ -322,12 +322,12 @@
 		r.Proven = now.Add(-millis(d.GetProofAgeMillis()))
 	}
 	for _, use := range d.GetUses() {
-		r.Shares[use.GetEndpoint()] = peers.Share{
+		r.Shares[use.GetEndpoint()] = peers.Usage{
 			Active: int64(use.GetActive()), Entered: int64(use.GetEntered()), Held: int64(use.GetHeld()),
-			Reading: int64(use.GetReading()), Down: int64(use.GetDown()), Wanted: int64(use.GetWantedMillis()),
+			Prefilling: int64(use.GetReading()), Down: int64(use.GetDown()), Wanted: int64(use.GetWantedMillis()),
 		}
 	}
-	if !s.Peers.Hear(r, s.Self, now) {
+	if !s.Peers.AddReport(r, s.Self, now) {
 		return
 	}
 	s.Local.Heard(d, now)
--- a/role/gossip/gossip_test.go
+++ b/role/gossip/gossip_test.go
@@ -34,10 +34,10 @@
 }
 
 // Count implements peers.Counter.
-func (n *node) Count(s peers.Share) { n.others.Add(s.Active) }
+func (n *node) Count(s peers.Usage) { n.others.Add(s.Active) }
 
 // Digest implements gossip.Local.
-func (n *node) Digest(_ time.Time, others map[string]peers.Share) *wire.Digest {
+func (n *node) Digest(_ time.Time, others map[string]peers.Usage) *wire.Digest {
 	active := n.active.Load() + others["card"].Active
 	return &wire.Digest{Uses: []*wire.Use{{Endpoint: "card", Active: uint32(active)}}}
 }
--- a/role/gossip/scale_test.go
+++ b/role/gossip/scale_test.go
@@ -137,18 +137,18 @@
 }
 
 // Count implements peers.Counter.
-func (c counter) Count(s peers.Share) {
+func (c counter) Count(s peers.Usage) {
 	if s.Down > 0 {
 		c.h.learnedAt.CompareAndSwap(0, time.Now().UnixNano())
 	}
 }
 
 // Digest implements gossip.Local.
-func (h *simGateway) Digest(_ time.Time, others map[string]peers.Share) *wire.Digest {
+func (h *simGateway) Digest(_ time.Time, others map[string]peers.Usage) *wire.Digest {
 	d := new(wire.Digest)
-	add := func(endpoint string, s peers.Share) {
+	add := func(endpoint string, s peers.Usage) {
 		d.Uses = append(d.Uses, &wire.Use{
-			Endpoint: endpoint, Active: uint32(s.Active), Held: uint64(s.Held), Reading: uint32(s.Reading), Down: uint32(s.Down),
+			Endpoint: endpoint, Active: uint32(s.Active), Held: uint64(s.Held), Reading: uint32(s.Prefilling), Down: uint32(s.Down),
 		})
 	}
 	if others != nil {
@@ -158,7 +158,7 @@
 		return d
 	}
 	for i, endpoint := range h.uses {
-		s := peers.Share{Active: 3, Held: 20000, Reading: 1}
+		s := peers.Usage{Active: 3, Held: 20000, Prefilling: 1}
 		if i == 0 && h.down.Load() {
 			s.Down = 1
 		}
--- a/role/membership/membership.go
+++ b/role/membership/membership.go
@@ -48,9 +48,9 @@
 	}
 	change, former := m.Roster.Put(roster.Record{Endpoint: e, Revision: p.Revision, Since: time.Now()})
 	switch change {
-	case roster.Same:
+	case roster.Unchanged:
 		return
-	case roster.Outlived:
+	case roster.Outdated:
 		m.Log.Info().Str("endpoint", id).Int64("born", e.Born).Int64("known", former.Born).Uint64("revision", p.Revision).
 			Msg("ignoring record of a previous incarnation of an endpoint")
 		return
@@ -61,7 +61,7 @@
 	m.Log.Info().Str("endpoint", id).Int64("born", e.Born).Str("service", e.Service).Str("address", e.Address).Str("hall", e.Hall).
 		Bool("leaving", e.Leaving).Stringer("layers", e.Layers).Str("card", e.Card).
 		Uint64("revision", p.Revision).Uint64("former_revision", former.Revision).Msg("endpoint changed")
-	if left := m.Roster.Departed(id); !e.Leaving && left.Covers(e, p.Revision) {
+	if left := m.Roster.Departure(id); !e.Leaving && left.Covers(e, p.Revision) {
 		m.Log.Warn().Str("endpoint", id).Int64("born", e.Born).Uint64("revision", p.Revision).Uint64("left_revision", left.Revision).
 			Bool("announced", left.Announced).Msg("record of an endpoint that has left does not show it, endpoint gets no new work")
 	}
@@ -87,12 +87,12 @@
 
 // Leaves notes that an incarnation of an endpoint has itself announced that it is leaving.
 func (m *Membership) Leaves(e endpoint.Endpoint) {
-	m.Roster.Adopt(roster.News{Departure: departure.Departure{Endpoint: e.ID, Born: e.Born, Announced: true}}, time.Now())
+	m.Roster.ApplyReport(roster.DepartureReport{Departure: departure.Departure{Endpoint: e.ID, Born: e.Born, Announced: true}}, time.Now())
 }
 
 // Tell adds to a digest the endpoints that have left.
 func (m *Membership) Tell(d *gossip.Digest, now time.Time) {
-	for _, n := range m.Roster.Told(now) {
+	for _, n := range m.Roster.ReportableDepartures(now) {
 		d.Departures = append(d.Departures, &gossip.Departure{
 			Endpoint: n.Endpoint, Born: n.Born, Announced: n.Announced, Revision: n.Revision, AgeMillis: uint32(n.Age.Milliseconds()),
 		})
@@ -104,13 +104,13 @@
 func (m *Membership) Hear(d *gossip.Digest, now time.Time) {
 	overruled := false
 	for _, reported := range d.GetDepartures() {
-		n := roster.News{
+		n := roster.DepartureReport{
 			Departure: departure.Departure{
 				Endpoint: reported.GetEndpoint(), Born: reported.GetBorn(), Announced: reported.GetAnnounced(), Revision: reported.GetRevision(),
 			},
 			Age: time.Duration(reported.GetAgeMillis()) * time.Millisecond,
 		}
-		if r, ok := m.Roster.Adopt(n, now); ok {
+		if r, ok := m.Roster.ApplyReport(n, now); ok {
 			overruled = true
 			m.Log.Info().Str("endpoint", n.Endpoint).Str("gateway", d.GetGateway()).Int64("born", n.Born).Bool("announced", n.Announced).
 				Uint64("revision", n.Revision).Dur("age_ms", n.Age).Uint64("record_revision", r.Revision).
--- a/role/partition/detector.go
+++ b/role/partition/detector.go
@@ -71,7 +71,7 @@
 
 // Init initializes the detector; call it before any other method.
 func (d *Detector) Init() {
-	d.outages.Fresh = outageLifetime
+	d.outages.ReportLifetime = outageLifetime
 }
 
 // Alone reports whether this gateway alone has lost the store.
@@ -88,7 +88,7 @@
 // store immediately: the other gateway must know within a fraction of a second whether to send its callers
 // elsewhere.
 func (d *Detector) Hear(from string, number uint64, now time.Time) {
-	if d.outages.Hear(from, number, d.Clock()) && d.Loaded.Load() && !d.Failing.Load() {
+	if d.outages.AddReport(from, number, d.Clock()) && d.Loaded.Load() && !d.Failing.Load() {
 		d.refresh(now)
 	}
 }
@@ -97,7 +97,7 @@
 func (d *Detector) Tell(digest *gossip.Digest) {
 	digest.Outage = d.outages.Own()
 	if digest.GetProven() {
-		digest.PartialOutages = d.outages.Partial(d.Proven(), d.Clock())
+		digest.PartialOutages = d.outages.NotOfStore(d.Proven(), d.Clock())
 	}
 }
 
--- a/role/partition/detector_test.go
+++ b/role/partition/detector_test.go
@@ -63,7 +63,7 @@
 				r.Partial = []uint64{own.GetOutage()}
 			}
 			now := begun.Add(500 * time.Millisecond)
-			require.True(t, table.Hear(r, self, now))
+			require.True(t, table.AddReport(r, self, now))
 			d.Tick(now)
 			require.Equal(t, c.alone, d.Alone())
 			failing.Store(false)
--- a/role/quarantine/quarantine.go
+++ b/role/quarantine/quarantine.go
@@ -70,7 +70,7 @@
 	News func()
 	// Over reports whether an incarnation of an endpoint has certainly ended. If it may still be
 	// running, Over has it checked.
-	Over func(suspects.Life) bool
+	Over func(suspects.Incarnation) bool
 	// Store keeps the quarantined requests.
 	Store Store
 	// Count counts an event.
@@ -98,7 +98,7 @@
 
 // Init initializes the quarantine; call it before any other method.
 func (q *Quarantine) Init() {
-	q.known.Lasts, q.known.SuspectFrom = quarantineTime, isolateFrom
+	q.known.Retention, q.known.SuspectFrom = quarantineTime, isolateFrom
 	q.writes = make(chan fingerprint.Fingerprint, maxPendingWrites)
 	q.unconfirmed = make(map[fingerprint.Fingerprint]time.Time)
 	q.stored = make(map[fingerprint.Fingerprint]bool)
@@ -120,20 +120,20 @@
 
 // Left returns how much longer a request is quarantined at now, 0 if it is not.
 func (q *Quarantine) Left(f fingerprint.Fingerprint, now time.Time) time.Duration {
-	return q.known.Barred(f, now)
+	return q.known.QuarantineLeft(f, now)
 }
 
 // Report notes that an incarnation of an endpoint has certainly ended under requests that it had just
 // begun to run, and notifies their keepers.
-func (q *Quarantine) Report(incarnation suspects.Life, begun []suspects.Begun, now time.Time) {
+func (q *Quarantine) Report(incarnation suspects.Incarnation, begun []suspects.Begun, now time.Time) {
 	for _, b := range begun {
 		q.Count(eventEnd)
-		if _, keeps := q.keeperRank(b.Print); keeps {
-			q.record(b.Print, suspects.End{Life: incarnation, Tried: b.Tried}, now)
+		if _, keeps := q.keeperRank(b.Fingerprint); keeps {
+			q.record(b.Fingerprint, suspects.End{Incarnation: incarnation, TriedIsolated: b.TriedIsolated}, now)
 			continue
 		}
 		// Only the keepers hear when the request completes elsewhere, so this count expires.
-		q.known.Hear(b.Print, q.known.Ends(b.Print, now)+1, true, now, now.Add(reportLifetime))
+		q.known.AddReport(b.Fingerprint, q.known.Ends(b.Fingerprint, now)+1, true, now, now.Add(reportLifetime))
 	}
 	q.notifyKeepers(incarnation, begun)
 }
@@ -156,15 +156,15 @@
 // Survived notes that a request has completed.
 func (q *Quarantine) Survived(f fingerprint.Fingerprint, now time.Time) {
 	if q.known.Clear(f, now) {
-		q.notifyKeepers(suspects.Life{}, []suspects.Begun{{Print: f}})
+		q.notifyKeepers(suspects.Incarnation{}, []suspects.Begun{{Fingerprint: f}})
 	}
 }
 
 // notifyKeepers sends the ends to the keepers of the requests, and once more at the next Tick.
-func (q *Quarantine) notifyKeepers(incarnation suspects.Life, begun []suspects.Begun) {
+func (q *Quarantine) notifyKeepers(incarnation suspects.Incarnation, begun []suspects.Begun) {
 	to := make(map[string]message)
 	for _, b := range begun {
-		for _, m := range q.Keepers(b.Print.String()) {
+		for _, m := range q.Keepers(b.Fingerprint.String()) {
 			if m.Name == q.Self {
 				continue
 			}
@@ -172,9 +172,9 @@
 				to[m.Name] = message{&wire.Ends{Gateway: q.Self, Endpoint: incarnation.Endpoint, Born: incarnation.Born}, m}
 			}
 			ends := to[m.Name].ends
-			ends.Prints = append(ends.Prints, uint64(b.Print))
-			if b.Tried {
-				ends.Tried = append(ends.Tried, uint64(b.Print))
+			ends.Prints = append(ends.Prints, uint64(b.Fingerprint))
+			if b.TriedIsolated {
+				ends.Tried = append(ends.Tried, uint64(b.Fingerprint))
 			}
 		}
 	}
@@ -193,8 +193,8 @@
 			q.known.Clear(fingerprint.Fingerprint(p), now)
 			continue
 		}
-		incarnation := suspects.Life{Endpoint: e.GetEndpoint(), Born: e.GetBorn()}
-		q.record(fingerprint.Fingerprint(p), suspects.End{Life: incarnation, Tried: slices.Contains(e.GetTried(), p)}, now)
+		incarnation := suspects.Incarnation{Endpoint: e.GetEndpoint(), Born: e.GetBorn()}
+		q.record(fingerprint.Fingerprint(p), suspects.End{Incarnation: incarnation, TriedIsolated: slices.Contains(e.GetTried(), p)}, now)
 	}
 }
 
@@ -238,19 +238,19 @@
 
 // enough reports whether ends show that the request causes them.
 func enough(ends []suspects.End) bool {
-	isolated := slices.ContainsFunc(ends, func(e suspects.End) bool { return e.Tried })
+	isolated := slices.ContainsFunc(ends, func(e suspects.End) bool { return e.TriedIsolated })
 	return len(ends) >= minEndsUnisolated || isolated && len(ends) >= minEnds
 }
 
 // evaluate quarantines a request when enough incarnations have certainly ended under it. A report by a
 // gateway that is cut off proves nothing: to it all endpoints seem to have ended.
 func (q *Quarantine) evaluate(f fingerprint.Fingerprint, ends []suspects.End, now time.Time) {
-	if !enough(ends) || q.known.Barred(f, now) > 0 {
+	if !enough(ends) || q.known.QuarantineLeft(f, now) > 0 {
 		return
 	}
 	var confirmed []suspects.End
 	for _, e := range ends {
-		if q.Over(e.Life) {
+		if q.Over(e.Incarnation) {
 			confirmed = append(confirmed, e)
 		}
 	}
@@ -263,7 +263,7 @@
 		return
 	}
 	delete(q.unconfirmed, f)
-	if !q.known.Bar(f, now, now.Add(quarantineTime)) {
+	if !q.known.Quarantine(f, now, now.Add(quarantineTime)) {
 		return
 	}
 	q.Count(eventBegun)
@@ -277,7 +277,7 @@
 	list := make([]string, 0, len(ends))
 	for _, e := range ends {
 		text := e.String()
-		if e.Tried {
+		if e.TriedIsolated {
 			text += " (tried apart)"
 		}
 		list = append(list, text)
@@ -291,7 +291,7 @@
 	reports := make([]*wire.Suspect, 0, len(list))
 	for _, s := range list {
 		reports = append(reports, &wire.Suspect{
-			Print: uint64(s.Print), Ends: uint32(s.Ends), LeftMillis: uint32(s.Left.Milliseconds()), Recent: s.Recent,
+			Print: uint64(s.Fingerprint), Ends: uint32(s.Ends), LeftMillis: uint32(s.QuarantineLeft.Milliseconds()), Recent: s.Recent,
 		})
 	}
 	return reports
@@ -302,7 +302,7 @@
 	for _, s := range list {
 		f := fingerprint.Fingerprint(s.GetPrint())
 		if s.GetEnds() > 0 {
-			q.known.Hear(f, int(s.GetEnds()), s.GetRecent(), now, now.Add(reportLifetime))
+			q.known.AddReport(f, int(s.GetEnds()), s.GetRecent(), now, now.Add(reportLifetime))
 		}
 		left := min(time.Duration(s.GetLeftMillis())*time.Millisecond, quarantineTime)
 		if left >= minRemaining {
@@ -313,7 +313,7 @@
 
 // adopt quarantines a request on the report of another gateway or of the store.
 func (q *Quarantine) adopt(f fingerprint.Fingerprint, left time.Duration, from string, now time.Time) {
-	if !q.known.Bar(f, now, now.Add(left)) {
+	if !q.known.Quarantine(f, now, now.Add(left)) {
 		return
 	}
 	q.Count(eventReported)
@@ -333,5 +333,5 @@
 // wait waits for d, and reports whether the request must still be written to the store then.
 func (q *Quarantine) wait(ctx context.Context, f fingerprint.Fingerprint, d time.Duration) bool {
 	pause.For(ctx, d)
-	return ctx.Err() == nil && !q.isStored(f) && q.known.Barred(f, time.Now()) > 0
+	return ctx.Err() == nil && !q.isStored(f) && q.known.QuarantineLeft(f, time.Now()) > 0
 }
--- a/role/quarantine/quarantine_test.go
+++ b/role/quarantine/quarantine_test.go
@@ -49,7 +49,7 @@
 	mu    sync.Mutex // guards what follows
 	nodes []*node
 	// ended are the incarnations that have ended.
-	ended map[suspects.Life]time.Time
+	ended map[suspects.Incarnation]time.Time
 	// stored are the pairs of the store, which does not answer while storeDown is set.
 	stored    map[string]kv.Pair
 	storeDown bool
@@ -153,7 +153,7 @@
 }
 
 // over reports whether an incarnation has ended, with a delay.
-func (f *fleet) over(l suspects.Life) bool {
+func (f *fleet) over(l suspects.Incarnation) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at, ended := f.ended[l]
@@ -209,7 +209,7 @@
 func newFleet(ctx context.Context, size int, seed uint64, loss float64) *fleet {
 	f := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 1)), loss: loss, nodes: make([]*node, size),
-		ended: make(map[suspects.Life]time.Time), stored: make(map[string]kv.Pair),
+		ended: make(map[suspects.Incarnation]time.Time), stored: make(map[string]kv.Pair),
 	}
 	for i := range size {
 		f.start(ctx, i)
@@ -224,11 +224,11 @@
 	for ; sends < most && n.Left(request, time.Now()) == 0; sends++ {
 		isolated := n.Suspected(request, time.Now())
 		f.mu.Lock()
-		incarnation := suspects.Life{Endpoint: fmt.Sprint("endpoint-", len(f.ended)%33), Born: int64(len(f.ended) / 33)}
+		incarnation := suspects.Incarnation{Endpoint: fmt.Sprint("endpoint-", len(f.ended)%33), Born: int64(len(f.ended) / 33)}
 		f.ended[incarnation] = time.Now()
 		f.mu.Unlock()
 		time.Sleep(time.Duration(20+f.intN(100)) * time.Millisecond)
-		n.Report(incarnation, []suspects.Begun{{Print: request, Tried: isolated}}, time.Now())
+		n.Report(incarnation, []suspects.Begun{{Fingerprint: request, TriedIsolated: isolated}}, time.Now())
 	}
 	return sends
 }
--- a/role/quarantine/store.go
+++ b/role/quarantine/store.go
@@ -67,7 +67,7 @@
 // put writes a request under a lease that lasts as long as the quarantine.
 func (q *Quarantine) put(ctx context.Context, f fingerprint.Fingerprint) error {
 	now := time.Now()
-	left := q.known.Barred(f, now)
+	left := q.known.QuarantineLeft(f, now)
 	text, err := proto.Marshal(&wire.Quarantine{
 		UntilUnixMillis: now.Add(left).UnixMilli(), Ends: uint32(q.known.Ends(f, now)),
 	})
@@ -115,7 +115,7 @@
 	q.mu.Lock()
 	delete(q.stored, f)
 	q.mu.Unlock()
-	if q.known.Barred(f, now) > minRemaining {
+	if q.known.QuarantineLeft(f, now) > minRemaining {
 		q.write(f)
 	}
 	return true
--- a/role/throttling/throttling.go
+++ b/role/throttling/throttling.go
@@ -43,7 +43,7 @@
 
 // Hear processes the limit, backoff period and departure that an endpoint sent with an answer.
 func (t *Throttling) Hear(endpoint string, i *intake.Intake, w throttle.Report) {
-	before, after := i.Hear(w)
+	before, after := i.ApplyAnnouncement(w)
 	if after.Unreadable() && !before.Unreadable() { // log once: the header may come with each answer
 		t.Log.Warn().Str("endpoint", endpoint).Str("header", w.Unreadable).Msg("a header of an endpoint is not understood, and not heeded")
 	}
@@ -63,13 +63,13 @@
 		Rate: float64(use.GetLimitMillis()) / limitUnit, At: now.Add(-time.Duration(age-1) * time.Millisecond),
 		Relays: maxRelays(forHall) + 1,
 	}
-	before, after := i.Told(limit, now)
+	before, after := i.ApplyReport(limit, now)
 	t.applyChange(endpoint, i, before, after, now)
 }
 
 // Tell adds to use what other gateways need to know of the endpoint's limit, and the demand of this gateway
 // plus that of the others in the given share.
-func (t *Throttling) Tell(use *gossip.Use, i *intake.Intake, others peers.Share, forHall bool, now time.Time) {
+func (t *Throttling) Tell(use *gossip.Use, i *intake.Intake, others peers.Usage, forHall bool, now time.Time) {
 	known := i.Load()
 	use.WantedMillis = uint32(max(others.Wanted+int64(known.Demand(now)*peers.WantedUnit), 0))
 	limit := known.Limit()
@@ -93,7 +93,7 @@
 // Divide recomputes this gateway's share of an endpoint's limit if it has demand there: the demand of the
 // others changes with each digest.
 func (t *Throttling) Divide(endpoint string, i *intake.Intake, now time.Time) {
-	if i.Silent() {
+	if i.NeverAnnounced() {
 		return // most endpoints state no limit
 	}
 	if i.Load().Demand(now) > 0 {
@@ -104,13 +104,13 @@
 // divide computes and returns this gateway's share of an endpoint's limit.
 func (t *Throttling) divide(endpoint string, i *intake.Intake, now time.Time) float64 {
 	known := i.Load()
-	near, far := t.Peers.Claims(endpoint)
+	near, far := t.Peers.Demands(endpoint)
 	own := known.Claim(now, propagationDigests*t.Every())
 	share := apportion.Division{
 		Key: endpoint, Limit: known.Limit().Rate, Fleet: t.Peers.Size(), Individual: near, HallSums: far, EvenShare: apportion.DefaultEvenShare,
 		Own: apportion.Claim{Name: t.Name, Members: 1, Demand: own},
 	}.Share()
-	i.Divide(share, now)
+	i.SetShare(share, now)
 	return share
 }
 
--- a/state/budgets/budgets.go
+++ b/state/budgets/budgets.go
@@ -29,8 +29,8 @@
 	services map[string]*retry.Budget
 }
 
-// First counts the first attempt of a request for a service at now.
-func (b *Budgets) First(service string, now time.Time) {
+// CountFirstAttempt counts the first attempt of a request for a service at now.
+func (b *Budgets) CountFirstAttempt(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budgetOf(service).CountFirstAttempt(now)
@@ -44,8 +44,8 @@
 	return b.budgetOf(service).Allow(now)
 }
 
-// Return gives back a retry that was allowed but not used.
-func (b *Budgets) Return(service string) {
+// Refund gives back a retry that was allowed but not used.
+func (b *Budgets) Refund(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budgetOf(service).Refund()
--- a/state/budgets/budgets_test.go
+++ b/state/budgets/budgets_test.go
@@ -23,10 +23,10 @@
 	}
 	require.Equal(t, 8, allowed("a"))
 	require.Equal(t, 8, allowed("b"))
-	b.Return("a")
+	b.Refund("a")
 	require.Equal(t, 1, allowed("a"))
 	for range 100 {
-		b.First("a", now)
+		b.CountFirstAttempt("a", now)
 	}
 	require.Equal(t, 17, allowed("a"))
 	size = 2
--- a/state/claimlog/log.go
+++ b/state/claimlog/log.go
@@ -41,13 +41,13 @@
 // FullError reports that a log takes no more claims until some have expired. The
 // claim was not written.
 type FullError struct {
-	// After is the time until the oldest claim expires.
-	After time.Duration
+	// RetryAfter is the time until the oldest claim expires.
+	RetryAfter time.Duration
 }
 
 // Error returns the time until the oldest claim expires.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("too many claims are remembered, the oldest for another %s", e.After)
+	return fmt.Sprintf("too many claims are remembered, the oldest for another %s", e.RetryAfter)
 }
 
 // Log writes claims to the store. Set the exported fields before the first use. Claim
@@ -55,10 +55,10 @@
 type Log struct {
 	// Store is the key-value service.
 	Store kv.Store
-	// Keep is the retention period of a claim.
-	Keep time.Duration
-	// Gather is how long a write waits for further claims to share it.
-	Gather time.Duration
+	// Retention is the retention period of a claim.
+	Retention time.Duration
+	// BatchDelay is how long a write waits for further claims to share it.
+	BatchDelay time.Duration
 	// Timeout bounds each write to the store, with its retries.
 	Timeout time.Duration
 
@@ -95,7 +95,7 @@
 // write writes the bucket's waiting claims to the store until none are left.
 func (l *Log) write(bucket int) {
 	for {
-		time.Sleep(l.Gather)
+		time.Sleep(l.BatchDelay)
 		l.mu.Lock()
 		batch := l.waiting[bucket]
 		l.waiting[bucket] = nil
@@ -122,12 +122,12 @@
 }
 
 func (l *Log) trim(_ context.Context, h headlog.Head) (int, error) {
-	return expired(h, time.Now(), l.Keep), nil
+	return expired(h, time.Now(), l.Retention), nil
 }
 
 // decide returns proposals for those claims of a batch that the claims in force allow.
 func (l *Log) decide(h headlog.Head, batch []*waiter) ([]headlog.Proposal, error) {
-	if len(h.Records)-expired(h, time.Now(), l.Keep)+len(batch) > maxClaims {
+	if len(h.Records)-expired(h, time.Now(), l.Retention)+len(batch) > maxClaims {
 		return nil, l.fullError(h)
 	}
 	latest := make(map[string]claim.Claim)
@@ -158,14 +158,14 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(&FullError{max(time.Until(oldest.At.Add(l.Keep)), time.Second)})
+	return trace.Wrap(&FullError{max(time.Until(oldest.At.Add(l.Retention)), time.Second)})
 }
 
 // result derives the result of one claim from the outcome of its batch's write.
 func (l *Log) result(h headlog.Head, err error, c claim.Claim) error {
-	var uncertain *headlog.InDoubtError
+	var uncertain *headlog.UncertainError
 	if errors.As(err, &uncertain) {
-		return trace.Wrap(&headlog.InDoubtError{ID: c.ID, Err: uncertain.Err})
+		return trace.Wrap(&headlog.UncertainError{ID: c.ID, Err: uncertain.Err})
 	}
 	if err != nil {
 		return err
--- a/state/conflog/log.go
+++ b/state/conflog/log.go
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	for _, record := range h.Records {
-		if state, err = replica.Next(state, record); err != nil {
+		if state, err = replica.ApplyRecord(state, record); err != nil {
 			return nil, err
 		}
 	}
@@ -147,8 +147,8 @@
 	return record.Revision, nil
 }
 
-// Pull reads the log once and updates the replica.
-func (l *Log) Pull(ctx context.Context) error {
+// Refresh reads the log once and updates the replica.
+func (l *Log) Refresh(ctx context.Context) error {
 	h, err := l.log.Read(ctx)
 	if err != nil {
 		return err
@@ -229,7 +229,7 @@
 		return 0, err
 	}
 	for _, record := range h.Records[:drop] {
-		if state, err = replica.Next(state, record); err != nil {
+		if state, err = replica.ApplyRecord(state, record); err != nil {
 			return 0, err
 		}
 	}
--- a/state/headlog/log.go
+++ b/state/headlog/log.go
@@ -66,9 +66,9 @@
 	return h.Records[revision-h.Base:], true
 }
 
-// InDoubtError reports a write whose outcome is still uncertain at the end of its
+// UncertainError reports a write whose outcome is still uncertain at the end of its
 // context. The write may have taken effect, or may yet do so.
-type InDoubtError struct {
+type UncertainError struct {
 	// ID identifies the write, for a later Find.
 	ID string
 	// Err is the reason why the outcome is uncertain.
@@ -76,12 +76,12 @@
 }
 
 // Error returns the ID of the write and the cause.
-func (e *InDoubtError) Error() string {
+func (e *UncertainError) Error() string {
 	return fmt.Sprintf("write %s is in doubt: %v", e.ID, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *InDoubtError) Unwrap() error {
+func (e *UncertainError) Unwrap() error {
 	return e.Err
 }
 
@@ -174,7 +174,7 @@
 			case outcomeWritten:
 				return h, nil
 			case outcomeTrimmed:
-				return Head{}, trace.Wrap(&InDoubtError{sent.id, errTrimmed})
+				return Head{}, trace.Wrap(&UncertainError{sent.id, errTrimmed})
 			}
 			h, err = l.attempt(ctx, h, decide, &sent)
 			if err == nil {
@@ -236,7 +236,7 @@
 	if p.id == "" {
 		return err
 	}
-	return trace.Wrap(&InDoubtError{p.id, err})
+	return trace.Wrap(&UncertainError{p.id, err})
 }
 
 // attempt makes one write and stores it in sent if it got no answer.
@@ -256,7 +256,7 @@
 	if err != nil {
 		return Head{}, trace.Wrap(err)
 	}
-	next.stored, err = l.Store.Put(ctx, kv.Write{Key: l.Key, Value: value, If: h.stored})
+	next.stored, err = l.Store.Put(ctx, kv.Write{Key: l.Key, Value: value, IfRevision: h.stored})
 	var unavailable *kv.UnavailableError
 	if errors.As(err, &unavailable) {
 		*sent = pending{proposals[0].ID, h.Revision() + 1}
--- a/state/intake/intake.go
+++ b/state/intake/intake.go
@@ -28,9 +28,9 @@
 	return throttle.Throttle{}
 }
 
-// Hear applies the announcement in an answer of the endpoint, and returns the throttle before and
+// ApplyAnnouncement applies the announcement in an answer of the endpoint, and returns the throttle before and
 // after.
-func (i *Intake) Hear(w throttle.Report) (before, after throttle.Throttle) {
+func (i *Intake) ApplyAnnouncement(w throttle.Report) (before, after throttle.Throttle) {
 	empty := throttle.Report{Sent: w.Sent, Received: w.Received}
 	if i.current.Load() == nil && w == empty {
 		return before, after // nearly every answer announces nothing
@@ -55,8 +55,8 @@
 	}
 }
 
-// Told applies a limit reported by another gateway, and returns the throttle before and after.
-func (i *Intake) Told(l throttle.Limit, now time.Time) (before, after throttle.Throttle) {
+// ApplyReport applies a limit reported by another gateway, and returns the throttle before and after.
+func (i *Intake) ApplyReport(l throttle.Limit, now time.Time) (before, after throttle.Throttle) {
 	if i.current.Load() == nil && !l.Named() {
 		return before, after
 	}
@@ -64,13 +64,13 @@
 	return i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithLimit(l, now, jitter) })
 }
 
-// Divide sets this gateway's share of the limit.
-func (i *Intake) Divide(share float64, now time.Time) {
+// SetShare sets this gateway's share of the limit.
+func (i *Intake) SetShare(share float64, now time.Time) {
 	i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithShare(share, now) })
 }
 
-// Want counts a request that would begin at the endpoint, if the endpoint announces a limit.
-func (i *Intake) Want(now time.Time) {
+// CountDemand counts a request that would begin at the endpoint, if the endpoint announces a limit.
+func (i *Intake) CountDemand(now time.Time) {
 	if i.Load().Named() {
 		i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithDemand(now) })
 	}
@@ -115,13 +115,13 @@
 	return from, known, leave
 }
 
-// Tells reports whether the known limit is to be reported to other gateways at now.
-func (i *Intake) Tells(now time.Time) bool {
+// Reportable reports whether the known limit is to be reported to other gateways at now.
+func (i *Intake) Reportable(now time.Time) bool {
 	t := i.current.Load()
 	return t != nil && t.ReportsLimit(now)
 }
 
-// Silent reports whether the endpoint has never announced anything.
-func (i *Intake) Silent() bool {
+// NeverAnnounced reports whether the endpoint has never announced anything.
+func (i *Intake) NeverAnnounced() bool {
 	return i.current.Load() == nil
 }
--- a/state/mirror/mirror.go
+++ b/state/mirror/mirror.go
@@ -31,9 +31,9 @@
 	// Wait is how long one request for changes waits. It bounds the age of the last freshness
 	// proof while nothing changes.
 	Wait time.Duration
-	// Settle is the least time between the starts of two requests, so that changes in quick
+	// MinInterval is the least time between the starts of two requests, so that changes in quick
 	// succession arrive together. It does not apply to pages with Paced set.
-	Settle time.Duration
+	MinInterval time.Duration
 	// Refresh ends a pause between two requests when it delivers a value, nil for never.
 	Refresh <-chan struct{}
 	// Grace is how long after an outage of the store a removed key is retained: leases expire
@@ -41,15 +41,15 @@
 	Grace time.Duration
 	// Put receives each pair that was written, and Gone each key that was removed with the revision
 	// of its removal.
-	Put  func(kv.Pair)
-	Gone func(key string, revision uint64)
+	Put     func(kv.Pair)
+	Removed func(key string, revision uint64)
 	// Confirm receives, after the changes of each answer, a time up to which the copy contains all
 	// writes: when the request was sent, or, if another process answered in place of the store, the
 	// time of that process's proof.
 	Confirm func(proven time.Time)
-	// Partial receives such a time after each page but the last of the first full read, while the
+	// ConfirmPartial receives such a time after each page but the last of the first full read, while the
 	// pages prove it: the keys read so far include all writes before it. Nil for no calls.
-	Partial func(proven time.Time)
+	ConfirmPartial func(proven time.Time)
 	// Unhurried reports, after a stale first page of the first full read, whether no caller waits
 	// for a proof. If so, full reads use stale pages only, until a proof is found. Nil for never.
 	Unhurried func() bool
@@ -61,9 +61,9 @@
 	// Now reads the clock of the times passed to Confirm, nil for time.Now. Where proofs must not
 	// appear newer than they are, it must continue while the host is suspended.
 	Now func() time.Time
-	// Lost receives the first failure after a success.
-	Lost func(error)
-	Log  zerolog.Logger
+	// StoreFailed receives the first failure after a success.
+	StoreFailed func(error)
+	Log         zerolog.Logger
 
 	// known holds the revisions of the keys in the copy.
 	known map[string]uint64
@@ -146,7 +146,7 @@
 			m.unhurried = false
 			m.Confirm(sent.Add(-m.lag))
 			if !m.paced {
-				m.pause(ctx, m.Settle-time.Since(begun))
+				m.pause(ctx, m.MinInterval-time.Since(begun))
 			}
 		}
 	}
@@ -204,8 +204,8 @@
 		if !page.More || len(page.Pairs) == 0 {
 			break
 		}
-		if first && m.Partial != nil && r.proves() {
-			m.Partial(r.sent)
+		if first && m.ConfirmPartial != nil && r.proves() {
+			m.ConfirmPartial(r.sent)
 		}
 	}
 	for key := range m.known {
@@ -281,7 +281,7 @@
 	if len(page.Pairs) == 0 && page.At > m.at {
 		m.Log.Debug().Uint64("from", m.at).Uint64("to", page.At).Msg("revision of the store rose without a change")
 	}
-	m.at, m.lag, m.paced, m.overdue = max(m.at, page.At), page.Lag, page.Paced, false
+	m.at, m.lag, m.paced, m.overdue = max(m.at, page.At), page.Lag, page.RateLimited, false
 	return nil
 }
 
@@ -319,7 +319,7 @@
 func (m *Mirror) forget(key string, revision uint64) {
 	delete(m.known, key)
 	delete(m.pendingRemovals, key)
-	m.Gone(key, revision)
+	m.Removed(key, revision)
 }
 
 // expire removes the pending keys whose grace period is over.
@@ -335,12 +335,12 @@
 // recordFailure records a failure and pauses before the next call.
 func (m *Mirror) recordFailure(ctx context.Context, err error) {
 	m.failures++
-	var unasked *kv.UnaskedError
+	var unasked *kv.NotSentError
 	if !errors.As(err, &unasked) {
 		m.unanswered++
 	}
 	if m.failures == 1 && ctx.Err() == nil {
-		m.Lost(err)
+		m.StoreFailed(err)
 	}
 	m.pause(ctx, retryWait.Delay(m.failures, rand.Float64()))
 }
--- a/state/mirror/mirror_test.go
+++ b/state/mirror/mirror_test.go
@@ -152,7 +152,7 @@
 		return kv.Page{}, errDown
 	}
 	if f.unasked {
-		return kv.Page{}, &kv.UnaskedError{Err: errDown}
+		return kv.Page{}, &kv.NotSentError{Err: errDown}
 	}
 	if revision < f.compacted {
 		return kv.Page{}, &kv.CompactedError{Revision: revision}
@@ -173,11 +173,11 @@
 func copyOf(t *testing.T, f *feed) map[string]string {
 	held := make(map[string]string)
 	m := &mirror.Mirror{
-		Feed: f, Wait: time.Second, Settle: 300 * time.Millisecond, Grace: grace, Log: zerolog.Nop(),
-		Put:     func(p kv.Pair) { held[p.Key] = string(p.Value) },
-		Gone:    func(key string, _ uint64) { delete(held, key) },
-		Confirm: func(time.Time) {},
-		Lost:    func(error) {},
+		Feed: f, Wait: time.Second, MinInterval: 300 * time.Millisecond, Grace: grace, Log: zerolog.Nop(),
+		Put:         func(p kv.Pair) { held[p.Key] = string(p.Value) },
+		Removed:     func(key string, _ uint64) { delete(held, key) },
+		Confirm:     func(time.Time) {},
+		StoreFailed: func(error) {},
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -352,9 +352,9 @@
 		var held int
 		var partial, confirmed []time.Duration
 		m := &mirror.Mirror{
-			Feed: f, Wait: time.Second, Log: zerolog.Nop(), Lost: func(error) {},
-			Put: func(kv.Pair) { held++ }, Gone: func(string, uint64) {},
-			Partial: func(proven time.Time) {
+			Feed: f, Wait: time.Second, Log: zerolog.Nop(), StoreFailed: func(error) {},
+			Put: func(kv.Pair) { held++ }, Removed: func(string, uint64) {},
+			ConfirmPartial: func(proven time.Time) {
 				require.Equal(t, begun, proven)
 				require.Equal(t, 2*(len(partial)+1), held)
 				partial = append(partial, time.Since(begun))
@@ -391,9 +391,9 @@
 		newest := time.Now()
 		held := make(map[string]string)
 		m := &mirror.Mirror{
-			Feed: f, Wait: time.Second, Settle: 300 * time.Millisecond, Log: zerolog.Nop(),
-			Put:  func(p kv.Pair) { held[p.Key] = string(p.Value) },
-			Gone: func(key string, _ uint64) { delete(held, key) },
+			Feed: f, Wait: time.Second, MinInterval: 300 * time.Millisecond, Log: zerolog.Nop(),
+			Put:     func(p kv.Pair) { held[p.Key] = string(p.Value) },
+			Removed: func(key string, _ uint64) { delete(held, key) },
 			Confirm: func(proven time.Time) {
 				require.False(t, proven.Before(newest))
 				require.Equal(t, map[string]string{"a": "1", "b": "1", "c": "1", "d": "2", "f": "1"}, held)
@@ -402,8 +402,8 @@
 				require.Equal(t, "1", held["d"])
 				return 200 * time.Millisecond, false
 			},
-			Partial: func(time.Time) { require.Subset(t, []string{"a", "b"}, slices.Collect(maps.Keys(held))) },
-			Lost:    func(error) {},
+			ConfirmPartial: func(time.Time) { require.Subset(t, []string{"a", "b"}, slices.Collect(maps.Keys(held))) },
+			StoreFailed:    func(error) {},
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
@@ -423,13 +423,13 @@
 		}
 		begun, confirmed := time.Now(), time.Time{}
 		m := &mirror.Mirror{
-			Feed: f, Wait: time.Second, Log: zerolog.Nop(), Put: func(kv.Pair) {}, Gone: func(string, uint64) {},
+			Feed: f, Wait: time.Second, Log: zerolog.Nop(), Put: func(kv.Pair) {}, Removed: func(string, uint64) {},
 			Confirm: func(proven time.Time) {
 				if confirmed.IsZero() {
 					confirmed = proven
 				}
 			},
-			Lost: func(error) {},
+			StoreFailed: func(error) {},
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
@@ -452,8 +452,8 @@
 				f.compact()
 				held := make(map[string]string)
 				m := &mirror.Mirror{
-					Feed: f, Wait: time.Second, Settle: time.Second, Log: zerolog.Nop(), Confirm: func(time.Time) {},
-					Put: func(p kv.Pair) { held[p.Key] = string(p.Value) }, Gone: func(string, uint64) {}, Lost: func(error) {},
+					Feed: f, Wait: time.Second, MinInterval: time.Second, Log: zerolog.Nop(), Confirm: func(time.Time) {},
+					Put: func(p kv.Pair) { held[p.Key] = string(p.Value) }, Removed: func(string, uint64) {}, StoreFailed: func(error) {},
 					Unhurried: func() bool { return unhurried },
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -481,13 +481,13 @@
 				newest, confirmed, partial := time.Now(), false, false
 				held := make(map[string]string)
 				m := &mirror.Mirror{
-					Feed: f, Wait: time.Second, Settle: time.Second, Log: zerolog.Nop(), Gone: func(string, uint64) {}, Lost: func(error) {},
+					Feed: f, Wait: time.Second, MinInterval: time.Second, Log: zerolog.Nop(), Removed: func(string, uint64) {}, StoreFailed: func(error) {},
 					Put:       func(p kv.Pair) { held[p.Key] = string(p.Value) },
 					Unhurried: func() bool { return unhurried },
 					Unproven: func(readings int) (time.Duration, bool) {
 						return 100 * time.Millisecond, unhurried && readings < 3
 					},
-					Partial: func(time.Time) { partial = true },
+					ConfirmPartial: func(time.Time) { partial = true },
 					Confirm: func(proven time.Time) {
 						confirmed = true
 						require.False(t, proven.Before(newest))
--- a/state/outages/outages.go
+++ b/state/outages/outages.go
@@ -18,8 +18,8 @@
 // Outages holds the outages in progress: this gateway's own, and those that others reported. Set
 // the exported field before the first use.
 type Outages struct {
-	// Fresh is how long the report of another gateway counts.
-	Fresh time.Duration
+	// ReportLifetime is how long the report of another gateway counts.
+	ReportLifetime time.Duration
 
 	mu sync.Mutex // guards what follows
 	// own is the number of this gateway's outage, 0 if there is none.
@@ -61,9 +61,9 @@
 	return o.own
 }
 
-// Hear records the number of another gateway's outage, 0 for none, and reports whether it is new.
+// AddReport records the number of another gateway's outage, 0 for none, and reports whether it is new.
 // now is read from the clock of freshness proofs.
-func (o *Outages) Hear(gateway string, number uint64, now time.Time) bool {
+func (o *Outages) AddReport(gateway string, number uint64, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	former := o.others[gateway]
@@ -91,10 +91,10 @@
 	return len(o.others) > 0
 }
 
-// Partial returns the numbers of the outages of others that are not outages of the store itself,
+// NotOfStore returns the numbers of the outages of others that are not outages of the store itself,
 // given that the store has answered a request that this gateway sent at time sent. These are the
 // outages that were first reported before that time.
-func (o *Outages) Partial(sent, now time.Time) []uint64 {
+func (o *Outages) NotOfStore(sent, now time.Time) []uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.forget(now)
@@ -110,7 +110,7 @@
 // forget drops the outages without a recent report; o.mu is held.
 func (o *Outages) forget(now time.Time) {
 	for gateway, outage := range o.others {
-		if now.Sub(outage.last) > o.Fresh {
+		if now.Sub(outage.last) > o.ReportLifetime {
 			delete(o.others, gateway)
 		}
 	}
--- a/state/peers/share.go
+++ b/state/peers/share.go
@@ -3,12 +3,12 @@
 // WantedUnit is one request per second in the unit of Share.Wanted.
 const WantedUnit = 1000
 
-// Share is the use of an endpoint by one or several gateways.
-type Share struct {
+// Usage is the use of an endpoint by one or several gateways.
+type Usage struct {
 	// Active is the number of requests at the endpoint. Of these, Entered is the number whose chain
-	// begins there, and Reading the number whose prompt is still being processed. Held is the
+	// begins there, and Prefilling the number whose prompt is still being processed. Held is the
 	// memory of all of them, in tokens times layers.
-	Active, Entered, Held, Reading int64
+	Active, Entered, Held, Prefilling int64
 	// Down is the number of gateways that recently got no answer from the endpoint.
 	Down int64
 	// Wanted is the rate of requests that would begin at the endpoint while it announces a limit,
@@ -17,22 +17,22 @@
 }
 
 // Plus returns the sum of two shares.
-func (s Share) Plus(t Share) Share {
-	return Share{
+func (s Usage) Plus(t Usage) Usage {
+	return Usage{
 		Active: s.Active + t.Active, Entered: s.Entered + t.Entered, Held: s.Held + t.Held,
-		Reading: s.Reading + t.Reading, Down: s.Down + t.Down, Wanted: s.Wanted + t.Wanted,
+		Prefilling: s.Prefilling + t.Prefilling, Down: s.Down + t.Down, Wanted: s.Wanted + t.Wanted,
 	}
 }
 
 // Negated returns the negative share, which undoes adding s.
-func (s Share) Negated() Share {
-	return Share{
-		Active: -s.Active, Entered: -s.Entered, Held: -s.Held, Reading: -s.Reading, Down: -s.Down, Wanted: -s.Wanted,
+func (s Usage) Negated() Usage {
+	return Usage{
+		Active: -s.Active, Entered: -s.Entered, Held: -s.Held, Prefilling: -s.Prefilling, Down: -s.Down, Wanted: -s.Wanted,
 	}
 }
 
 // Counter sums the shares of the other gateways at one endpoint.
 type Counter interface {
 	// Count adds a share, or removes one that is negated.
-	Count(s Share)
+	Count(s Usage)
 }
--- a/state/peers/table.go
+++ b/state/peers/table.go
@@ -35,10 +35,10 @@
 	// Partial are the outages of other gateways during which the store answered the sender: see
 	// outages.Outages.
 	Partial []uint64
-	// Every is the interval between two such reports of the sender.
-	Every time.Duration
+	// Interval is the interval between two such reports of the sender.
+	Interval time.Duration
 	// Shares is the use of endpoints, by endpoint.
-	Shares map[string]Share
+	Shares map[string]Usage
 }
 
 // key returns the subject of the report.
@@ -76,7 +76,7 @@
 type entry struct {
 	Report
 	at      time.Time
-	counted map[Counter]Share
+	counted map[Counter]Usage
 }
 
 // count adds the shares of an entry to the counters, or removes them.
@@ -109,10 +109,10 @@
 	delete(t.announced, key)
 }
 
-// Hear applies a report and reports whether it is in force. It is not if a newer one has arrived,
+// AddReport applies a report and reports whether it is in force. It is not if a newer one has arrived,
 // if it is for the whole hall of self, or if it is for a gateway of another hall and a report for
 // that hall is in force. A report for a hall replaces those of its gateways.
-func (t *Table) Hear(r Report, self overlay.Member, now time.Time) bool {
+func (t *Table) AddReport(r Report, self overlay.Member, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.reports == nil {
@@ -139,8 +139,8 @@
 }
 
 // counters returns the shares by counter, without unknown endpoints.
-func (t *Table) counters(shares map[string]Share) map[Counter]Share {
-	counted := make(map[Counter]Share, len(shares))
+func (t *Table) counters(shares map[string]Usage) map[Counter]Usage {
+	counted := make(map[Counter]Usage, len(shares))
 	for endpoint, s := range shares {
 		if counter := t.Counter(endpoint); counter != nil {
 			counted[counter] = s
@@ -165,17 +165,17 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for key, e := range t.reports {
-		if now.Sub(e.at) > time.Duration(missed)*max(e.Every, least) {
+		if now.Sub(e.at) > time.Duration(missed)*max(e.Interval, least) {
 			e.count(false)
 			delete(t.reports, key)
 		}
 	}
 }
 
-// Miss marks as absent the gateways that the store names but that have been silent for longer than
+// MarkAbsent marks as absent the gateways that the store names but that have been silent for longer than
 // after. Members omits them until they report again. They may be cut off rather than ended, so
 // Size and AllHeard still count them.
-func (t *Table) Miss(now time.Time, after time.Duration) {
+func (t *Table) MarkAbsent(now time.Time, after time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, a := range t.announced {
@@ -202,8 +202,8 @@
 	return list
 }
 
-// Heard returns the number of other gateways with a report of their own.
-func (t *Table) Heard() int {
+// CountDirect returns the number of other gateways with a report of their own.
+func (t *Table) CountDirect() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
@@ -217,10 +217,10 @@
 
 // Sum returns the sum of the shares of a hall's gateways, their number, and the time at which the
 // newest configuration among them was certainly current.
-func (t *Table) Sum(hall string) (shares map[string]Share, members int, proven time.Time) {
+func (t *Table) Sum(hall string) (shares map[string]Usage, members int, proven time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	shares = make(map[string]Share)
+	shares = make(map[string]Usage)
 	for key, e := range t.reports {
 		if key.Name == "" || e.From.Hall != hall {
 			continue
@@ -236,9 +236,9 @@
 	return shares, members, proven
 }
 
-// Claims returns the demand of the others for the limit of an endpoint: near are gateways with
+// Demands returns the demand of the others for the limit of an endpoint: near are gateways with
 // reports of their own, far are other halls.
-func (t *Table) Claims(endpoint string) (near, far []apportion.Claim) {
+func (t *Table) Demands(endpoint string) (near, far []apportion.Claim) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for key, e := range t.reports {
@@ -314,9 +314,9 @@
 	return len(t.reports) == 0
 }
 
-// AllHeard reports whether the reports in force cover every other gateway that the store names,
+// AllCovered reports whether the reports in force cover every other gateway that the store names,
 // individually or as part of a hall.
-func (t *Table) AllHeard(self string) bool {
+func (t *Table) AllCovered(self string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	missing := make(map[string]int)
--- a/state/peers/table_test.go
+++ b/state/peers/table_test.go
@@ -11,9 +11,9 @@
 )
 
 // counter sums the counted shares.
-type counter struct{ peers.Share }
+type counter struct{ peers.Usage }
 
-func (c *counter) Count(s peers.Share) { c.Share = c.Plus(s) }
+func (c *counter) Count(s peers.Usage) { c.Usage = c.Plus(s) }
 
 // table returns a table of one endpoint, "card".
 func table() (*peers.Table, *counter) {
@@ -33,29 +33,29 @@
 func report(name, hall string, number uint64, members int, active int64) peers.Report {
 	return peers.Report{
 		From: overlay.Member{Name: name, Hall: hall}, Incarnation: 1, Number: number, Members: members,
-		Shares: map[string]peers.Share{"card": {Active: active, Down: 1}, "unknown": {Active: 9}},
+		Shares: map[string]peers.Usage{"card": {Active: active, Down: 1}, "unknown": {Active: 9}},
 	}
 }
 
 func TestNewestReportCounts(t *testing.T) {
 	table, sum := table()
 	now := time.Now()
-	require.True(t, table.Hear(report("a", "north", 2, 0, 5), self, now))
-	require.False(t, table.Hear(report("a", "north", 1, 0, 3), self, now))
-	require.True(t, table.Hear(report("b", "north", 1, 0, 4), self, now))
+	require.True(t, table.AddReport(report("a", "north", 2, 0, 5), self, now))
+	require.False(t, table.AddReport(report("a", "north", 1, 0, 3), self, now))
+	require.True(t, table.AddReport(report("b", "north", 1, 0, 4), self, now))
 	require.EqualValues(t, 9, sum.Active)
 	require.EqualValues(t, 2, sum.Down)
 	restarted := report("a", "north", 1, 0, 1)
 	restarted.Incarnation = 2
-	require.True(t, table.Hear(restarted, self, now))
+	require.True(t, table.AddReport(restarted, self, now))
 	require.EqualValues(t, 5, sum.Active)
 	slow := report("c", "north", 1, 0, 7)
-	slow.Every = time.Second
-	require.True(t, table.Hear(slow, self, now))
+	slow.Interval = time.Second
+	require.True(t, table.AddReport(slow, self, now))
 	table.Expire(now.Add(time.Second), 6, 150*time.Millisecond)
 	require.EqualValues(t, 7, sum.Active, "its next report is not due")
 	table.Expire(now.Add(7*time.Second), 6, 150*time.Millisecond)
-	require.Zero(t, sum.Share)
+	require.Zero(t, sum.Usage)
 	require.True(t, table.Alone())
 }
 
@@ -63,13 +63,13 @@
 func TestHallIsCountedOnce(t *testing.T) {
 	table, sum := table()
 	now := time.Now()
-	require.True(t, table.Hear(report("far-1", "south", 1, 0, 2), self, now))
-	require.True(t, table.Hear(report("far-1", "south", 2, 3, 10), self, now))
+	require.True(t, table.AddReport(report("far-1", "south", 1, 0, 2), self, now))
+	require.True(t, table.AddReport(report("far-1", "south", 2, 3, 10), self, now))
 	require.EqualValues(t, 10, sum.Active)
-	require.False(t, table.Hear(report("far-2", "south", 1, 0, 4), self, now), "another gateway reports for its hall")
-	require.True(t, table.Hear(report("far-2", "south", 1, 3, 11), self, now), "another gateway now reports for the hall")
+	require.False(t, table.AddReport(report("far-2", "south", 1, 0, 4), self, now), "another gateway reports for its hall")
+	require.True(t, table.AddReport(report("far-2", "south", 1, 3, 11), self, now), "another gateway now reports for the hall")
 	require.EqualValues(t, 11, sum.Active)
-	require.False(t, table.Hear(report("near-1", "north", 1, 2, 7), self, now), "reports for the own hall are ignored")
+	require.False(t, table.AddReport(report("near-1", "north", 1, 2, 7), self, now), "reports for the own hall are ignored")
 	require.EqualValues(t, 11, sum.Active)
 	require.Equal(t, 4, table.Size())
 	require.Equal(t, "far-2", table.Members("self")[0].Name)
@@ -80,8 +80,8 @@
 	now := time.Now()
 	near, far := report("a", "north", 1, 0, 5), report("b", "south", 1, 0, 7)
 	near.Proven = now.Add(-time.Second)
-	table.Hear(near, self, now)
-	table.Hear(far, self, now)
+	table.AddReport(near, self, now)
+	table.AddReport(far, self, now)
 	shares, members, proven := table.Sum("north")
 	require.Equal(t, 1, members)
 	require.Equal(t, near.Proven, proven)
@@ -97,12 +97,12 @@
 	table.Announce("key-a", overlay.Member{Name: "a", Hall: "north"}, now)
 	table.Announce("key-b", overlay.Member{Name: "b", Hall: "south"}, now)
 	table.Announce("key-c", overlay.Member{Name: "c", Hall: "south"}, now)
-	require.False(t, table.AllHeard(self.Name))
-	table.Hear(report("a", "north", 1, 0, 1), self, now)
-	table.Hear(report("b", "south", 1, 1, 1), self, now)
-	require.False(t, table.AllHeard(self.Name))
-	table.Hear(report("b", "south", 2, 2, 1), self, now)
-	require.True(t, table.AllHeard(self.Name))
+	require.False(t, table.AllCovered(self.Name))
+	table.AddReport(report("a", "north", 1, 0, 1), self, now)
+	table.AddReport(report("b", "south", 1, 1, 1), self, now)
+	require.False(t, table.AllCovered(self.Name))
+	table.AddReport(report("b", "south", 2, 2, 1), self, now)
+	require.True(t, table.AllCovered(self.Name))
 	require.Len(t, table.Members(self.Name), 3)
 	table.Withdraw("key-c")
 	require.Len(t, table.Members(self.Name), 2)
@@ -116,18 +116,18 @@
 	for _, m := range []overlay.Member{{Name: "a", Hall: "north"}, {Name: "b", Hall: "north"}, {Name: "c", Hall: "south"}} {
 		table.Announce("key-"+m.Name, m, now)
 	}
-	table.Miss(now.Add(5*time.Second), 8*time.Second)
+	table.MarkAbsent(now.Add(5*time.Second), 8*time.Second)
 	require.Len(t, table.Members(self.Name), 3, "they may be about to start")
 	now = now.Add(10 * time.Second)
-	table.Hear(report("a", "north", 1, 0, 1), self, now)
-	table.Hear(report("speaker", "south", 1, 4, 1), self, now)
-	table.Miss(now, 8*time.Second)
+	table.AddReport(report("a", "north", 1, 0, 1), self, now)
+	table.AddReport(report("speaker", "south", 1, 4, 1), self, now)
+	table.MarkAbsent(now, 8*time.Second)
 	require.ElementsMatch(t, []string{"a", "c", "speaker"}, names(table))
-	require.False(t, table.AllHeard(self.Name))
+	require.False(t, table.AllCovered(self.Name))
 	require.Equal(t, 6, table.Size())
-	table.Hear(report("b", "north", 1, 0, 1), self, now)
+	table.AddReport(report("b", "north", 1, 0, 1), self, now)
 	table.Expire(now.Add(time.Minute), 6, time.Second)
-	table.Miss(now.Add(time.Minute), 8*time.Second)
+	table.MarkAbsent(now.Add(time.Minute), 8*time.Second)
 	require.Empty(t, names(table), "a hall without reports is absent")
 	require.Equal(t, 3, table.Size())
 }
--- a/state/replica/config.go
+++ b/state/replica/config.go
@@ -74,7 +74,7 @@
 		if record.Revision <= state.Revision {
 			continue
 		}
-		next, err := Next(state, record)
+		next, err := ApplyRecord(state, record)
 		if err != nil {
 			return err
 		}
@@ -134,8 +134,8 @@
 	return err
 }
 
-// Next returns the state that results from applying a record to state.
-func Next(state *config.State, record headlog.Record) (*config.State, error) {
+// ApplyRecord returns the state that results from applying a record to state.
+func ApplyRecord(state *config.State, record headlog.Record) (*config.State, error) {
 	var change config.Change
 	if err := json.Unmarshal(record.Body, &change); err != nil {
 		return nil, trace.Wrap(err, "change %d", record.Revision)
@@ -143,9 +143,9 @@
 	return state.With(record.Revision, change)
 }
 
-// Since returns the changes after the given revision for a peer, or a snapshot if the
+// UpdatesSince returns the changes after the given revision for a peer, or a snapshot if the
 // recent changes do not reach back that far.
-func (c *Config) Since(revision uint64) (*wire.SyncReply, error) {
+func (c *Config) UpdatesSince(revision uint64) (*wire.SyncReply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state := c.Current().State
@@ -168,8 +168,8 @@
 	return reply, nil
 }
 
-// Take applies a peer's reply, which holds a snapshot or changes.
-func (c *Config) Take(reply *wire.SyncReply) error {
+// ApplyReply applies a peer's reply, which holds a snapshot or changes.
+func (c *Config) ApplyReply(reply *wire.SyncReply) error {
 	if len(reply.GetSnapshot()) > 0 {
 		state := new(config.State)
 		if err := json.Unmarshal(reply.GetSnapshot(), state); err != nil {
--- a/state/replica/config_test.go
+++ b/state/replica/config_test.go
@@ -41,9 +41,9 @@
 	for _, have := range []uint64{0, 10, 1500, 1999, 2000} {
 		to := replica.New()
 		require.NoError(t, to.Apply(records(1, have)))
-		reply, err := from.Since(to.Revision())
+		reply, err := from.UpdatesSince(to.Revision())
 		require.NoError(t, err)
-		require.NoError(t, to.Take(reply))
+		require.NoError(t, to.ApplyReply(reply))
 		require.Equal(t, uint64(2000), to.Revision())
 		require.Equal(t, from.Current().State, to.Current().State)
 		require.Equal(t, "t", to.Current().TeamByKey[fmt.Sprintf("%064d", 2000)])
--- a/state/roster/departures.go
+++ b/state/roster/departures.go
@@ -27,15 +27,15 @@
 	at time.Time
 }
 
-// News is a departure as one process reports it to another.
-type News struct {
+// DepartureReport is a departure as one process reports it to another.
+type DepartureReport struct {
 	departure.Departure
 	// Age is the time since the first process learned of the departure.
 	Age time.Duration
 }
 
-// Departed returns the departure of an endpoint, the zero Departure if there is none.
-func (r *Roster) Departed(id string) departure.Departure {
+// Departure returns the departure of an endpoint, the zero Departure if there is none.
+func (r *Roster) Departure(id string) departure.Departure {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.departures[id].Departure
@@ -47,9 +47,9 @@
 	return record.Leaving || r.departures[record.ID].Covers(record.Endpoint, record.Revision)
 }
 
-// Adopt records a departure reported by another process. It returns the endpoint's record and
+// ApplyReport records a departure reported by another process. It returns the endpoint's record and
 // whether the departure overrules it, so that the endpoint now counts as having left.
-func (r *Roster) Adopt(n News, now time.Time) (Record, bool) {
+func (r *Roster) ApplyReport(n DepartureReport, now time.Time) (Record, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	record, known := r.records[n.Endpoint]
@@ -62,17 +62,17 @@
 	return record, overruled
 }
 
-// Told returns the departures to report to other processes at now.
-func (r *Roster) Told(now time.Time) []News {
+// ReportableDepartures returns the departures to report to other processes at now.
+func (r *Roster) ReportableDepartures(now time.Time) []DepartureReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var list []News
+	var list []DepartureReport
 	for _, d := range r.departures {
 		if age := now.Sub(d.at); age < reportPeriod {
-			list = append(list, News{d.Departure, max(age, 0)})
+			list = append(list, DepartureReport{d.Departure, max(age, 0)})
 		}
 	}
-	slices.SortFunc(list, func(a, b News) int { return cmp.Compare(a.Age, b.Age) })
+	slices.SortFunc(list, func(a, b DepartureReport) int { return cmp.Compare(a.Age, b.Age) })
 	if len(list) <= maxReported {
 		return list
 	}
--- a/state/roster/roster.go
+++ b/state/roster/roster.go
@@ -27,14 +27,14 @@
 
 // The effects of a record.
 const (
-	// Same is a record without new content.
-	Same Change = iota
+	// Unchanged is a record without new content.
+	Unchanged Change = iota
 	// Changed is a record of a new endpoint, or one with different content.
 	Changed
 	// Restarted is a record of an endpoint that has started again under its ID.
 	Restarted
-	// Outlived is a record of an earlier incarnation than the known one; it is ignored.
-	Outlived
+	// Outdated is a record of an earlier incarnation than the known one; it is ignored.
+	Outdated
 )
 
 // Roster holds the endpoints. The zero Roster is empty. It is safe for concurrent use.
@@ -56,9 +56,9 @@
 	switch {
 	case known && former.Endpoint == next.Endpoint:
 		r.renew(former, next.Revision)
-		return Same, former
+		return Unchanged, former
 	case former.Supersedes(next.Endpoint):
-		return Outlived, former
+		return Outdated, former
 	}
 	if r.records == nil {
 		r.records = make(map[string]Record)
--- a/state/roster/roster_test.go
+++ b/state/roster/roster_test.go
@@ -53,17 +53,17 @@
 		r.Put(record("a", 3, false))
 	}
 	follower.Remove("a", 8, start)
-	reported := follower.Told(start.Add(time.Second))
+	reported := follower.ReportableDepartures(start.Add(time.Second))
 	require.Len(t, reported, 1)
-	r, overruled := behind.Adopt(reported[0], start)
+	r, overruled := behind.ApplyReport(reported[0], start)
 	require.True(t, overruled)
 	require.EqualValues(t, 3, r.Revision)
 	require.False(t, open(&behind, "a"), "the record is older than its removal")
-	_, overruled = behind.Adopt(reported[0], start)
+	_, overruled = behind.ApplyReport(reported[0], start)
 	require.False(t, overruled, "already known")
 	behind.TakeChanged()
 	change, _ := behind.Put(record("a", 9, false))
-	require.Equal(t, roster.Same, change)
+	require.Equal(t, roster.Unchanged, change)
 	require.True(t, behind.TakeChanged())
 	require.True(t, open(&behind, "a"), "the record is newer than its removal")
 }
@@ -78,7 +78,7 @@
 	}
 	seen := make(map[string]bool)
 	for range 20 {
-		reported := r.Told(start.Add(time.Second))
+		reported := r.ReportableDepartures(start.Add(time.Second))
 		require.Len(t, reported, 32)
 		require.Equal(t, fmt.Sprint(all-1), reported[0].Endpoint, "newest first")
 		for _, n := range reported {
@@ -86,5 +86,5 @@
 		}
 	}
 	require.Len(t, seen, all)
-	require.Empty(t, r.Told(start.Add(2*time.Minute)))
+	require.Empty(t, r.ReportableDepartures(start.Add(2*time.Minute)))
 }
--- a/state/runonce/runner.go
+++ b/state/runonce/runner.go
@@ -43,18 +43,18 @@
 	Settle(ctx context.Context, c claim.Claim) (*wire.CallReply, error)
 }
 
-// Seats makes reservations at endpoints.
-type Seats interface {
-	// Enter waits for a reservation at an endpoint that is not in avoid. The caller
+// Reservations makes reservations at endpoints.
+type Reservations interface {
+	// Reserve waits for a reservation at an endpoint that is not in avoid. The caller
 	// ends the reservation with leave.
-	Enter(ctx context.Context, avoid map[string]bool) (at fleet.Endpoint, leave func(), report *outcome.Report)
+	Reserve(ctx context.Context, avoid map[string]bool) (at fleet.Endpoint, leave func(), report *outcome.Report)
 }
 
 // Runner runs one call. Set the exported fields, then call Run.
 type Runner struct {
 	Claims Claimer
 	Agents Agents
-	Seats  Seats
+	Seats  Reservations
 	// MayRetry takes one retry from the budget and reports whether there was one.
 	MayRetry func() bool
 	// Key is the hash of the idempotency key, Digest that of the request.
@@ -98,7 +98,7 @@
 	r.avoid = make(map[string]bool)
 	former := ""
 	for why := "least loaded"; ; {
-		at, leave, report := r.Seats.Enter(ctx, r.avoid)
+		at, leave, report := r.Seats.Reserve(ctx, r.avoid)
 		if report != nil {
 			return nil, report
 		}
@@ -175,12 +175,12 @@
 func (r *Runner) notClaimed(ctx context.Context, err error) (*wire.CallReply, string, *outcome.Report) {
 	var taken *claimlog.TakenError
 	var full *claimlog.FullError
-	var uncertain *headlog.InDoubtError
+	var uncertain *headlog.UncertainError
 	switch {
 	case errors.As(err, &taken):
 		return r.taken(ctx, taken.Holder)
 	case errors.As(err, &full):
-		return nil, "", outcome.Refuse(outcome.Overloaded, full.Error(), full.After)
+		return nil, "", outcome.Refuse(outcome.Overloaded, full.Error(), full.RetryAfter)
 	case errors.As(err, &uncertain):
 		// The claim may be in force, but no call was sent under it, so nothing has run.
 		return nil, "", outcome.Refuse(outcome.Platform, uncertain.Error(), retryAfter)
--- a/state/runonce/runner_test.go
+++ b/state/runonce/runner_test.go
@@ -43,7 +43,7 @@
 	return &wire.CallReply{Outcome: wire.CallReply_NOT_RUN}, nil
 }
 
-func (r *rival) Enter(context.Context, map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
+func (r *rival) Reserve(context.Context, map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
 	return fleet.Endpoint{Name: "a"}, func() {}, nil
 }
 
--- a/state/streams/times.go
+++ b/state/streams/times.go
@@ -23,17 +23,17 @@
 	t.first.Update(service, func(e timeout.Estimator) timeout.Estimator { return e.WithSample(took) })
 }
 
-// NoteWhole records the time from sending a request to the end of its stream.
-func (t *Times) NoteWhole(service string, took time.Duration) {
+// NoteDuration records the time from sending a request to the end of its stream.
+func (t *Times) NoteDuration(service string, took time.Duration) {
 	t.total.Update(service, func(e timeout.Estimator) timeout.Estimator { return e.WithSample(took) })
 }
 
-// First returns the expected time to the first event, 0 if no event has arrived yet.
-func (t *Times) First(service string) time.Duration {
+// ExpectedFirst returns the expected time to the first event, 0 if no event has arrived yet.
+func (t *Times) ExpectedFirst(service string) time.Duration {
 	return firstMargin * t.first.Get(service).Mean()
 }
 
-// Lasts returns the average duration of a stream, 0 if none has ended yet.
-func (t *Times) Lasts(service string) time.Duration {
+// Duration returns the average duration of a stream, 0 if none has ended yet.
+func (t *Times) Duration(service string) time.Duration {
 	return t.total.Get(service).Mean()
 }
--- a/state/streams/times_test.go
+++ b/state/streams/times_test.go
@@ -12,14 +12,14 @@
 // Each service has its own estimates, which follow the recorded times.
 func TestTimes(t *testing.T) {
 	var times streams.Times
-	require.Zero(t, times.First("a"))
-	require.Zero(t, times.Lasts("a"))
+	require.Zero(t, times.ExpectedFirst("a"))
+	require.Zero(t, times.Duration("a"))
 	for range 50 {
 		times.NoteFirst("a", 100*time.Millisecond)
-		times.NoteWhole("a", 3*time.Second)
+		times.NoteDuration("a", 3*time.Second)
 	}
-	require.InDelta(t, 200*time.Millisecond, times.First("a"), float64(20*time.Millisecond))
-	require.InDelta(t, 3*time.Second, times.Lasts("a"), float64(100*time.Millisecond))
-	require.Zero(t, times.First("b"))
-	require.Zero(t, times.Lasts("b"))
+	require.InDelta(t, 200*time.Millisecond, times.ExpectedFirst("a"), float64(20*time.Millisecond))
+	require.InDelta(t, 3*time.Second, times.Duration("a"), float64(100*time.Millisecond))
+	require.Zero(t, times.ExpectedFirst("b"))
+	require.Zero(t, times.Duration("b"))
 }
--- a/state/suspects/suspects.go
+++ b/state/suspects/suspects.go
@@ -28,15 +28,15 @@
 	maxEnds = 8
 )
 
-// Life is one incarnation of an endpoint, which may start again under the same ID.
-type Life struct {
+// Incarnation is one incarnation of an endpoint, which may start again under the same ID.
+type Incarnation struct {
 	Endpoint string
 	// Born is the start time that the endpoint reports, 0 if it reports none.
 	Born int64
 }
 
 // String returns the incarnation as written in the logs.
-func (l Life) String() string {
+func (l Incarnation) String() string {
 	if l.Born == 0 {
 		return l.Endpoint
 	}
@@ -45,26 +45,26 @@
 
 // Begun is a request that an endpoint had just begun to run when it ended.
 type Begun struct {
-	Print fingerprint.Fingerprint
-	// Tried is set if the request was already suspect and was tried in isolation from all other
+	Fingerprint fingerprint.Fingerprint
+	// TriedIsolated is set if the request was already suspect and was tried in isolation from all other
 	// suspects.
-	Tried bool
+	TriedIsolated bool
 }
 
 // End is the end of an incarnation during a request.
 type End struct {
-	Life
-	// Tried is the value from Begun.
-	Tried bool
+	Incarnation
+	// TriedIsolated is the value from Begun.
+	TriedIsolated bool
 }
 
 // Suspect describes a suspect request.
 type Suspect struct {
-	Print fingerprint.Fingerprint
+	Fingerprint fingerprint.Fingerprint
 	// Ends is the number of incarnations that have ended during it.
 	Ends int
-	// Left is the time left of its quarantine, 0 if it is not quarantined.
-	Left time.Duration
+	// QuarantineLeft is the time left of its quarantine, 0 if it is not quarantined.
+	QuarantineLeft time.Duration
 	// Recent is set while the last end is recent.
 	Recent bool
 }
@@ -72,8 +72,8 @@
 // Suspects holds the requests during which endpoints have ended. Set the exported fields before
 // the first use.
 type Suspects struct {
-	// Lasts is how long ends count after the last one during the same request.
-	Lasts time.Duration
+	// Retention is how long ends count after the last one during the same request.
+	Retention time.Duration
 	// SuspectFrom is the number of ends that makes a request suspect.
 	SuspectFrom int
 
@@ -107,15 +107,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.record(f, now)
-	if now.Sub(r.at) > s.Lasts {
+	if now.Sub(r.at) > s.Retention {
 		r.ends = nil
 	}
 	r.at = now
 	r.recentUntil = now.Add(recentTime)
-	known := slices.IndexFunc(r.ends, func(o End) bool { return o.Life == e.Life })
+	known := slices.IndexFunc(r.ends, func(o End) bool { return o.Incarnation == e.Incarnation })
 	switch {
 	case known >= 0:
-		r.ends[known].Tried = r.ends[known].Tried || e.Tried
+		r.ends[known].TriedIsolated = r.ends[known].TriedIsolated || e.TriedIsolated
 	case len(r.ends) < maxEnds:
 		r.ends = append(r.ends, e)
 	}
@@ -136,15 +136,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.records[f]
-	if r == nil || now.Sub(r.at) > s.Lasts {
+	if r == nil || now.Sub(r.at) > s.Retention {
 		return nil
 	}
 	return slices.Clone(r.ends)
 }
 
-// Hear records a report of another gateway: the number of ends during a request, valid until a
+// AddReport records a report of another gateway: the number of ends during a request, valid until a
 // given time, and whether one of them is recent.
-func (s *Suspects) Hear(f fingerprint.Fingerprint, ends int, recent bool, now, until time.Time) {
+func (s *Suspects) AddReport(f fingerprint.Fingerprint, ends int, recent bool, now, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.record(f, now)
@@ -179,8 +179,8 @@
 	return 0
 }
 
-// Bar quarantines a request until a given time, and reports whether this started a new quarantine.
-func (s *Suspects) Bar(f fingerprint.Fingerprint, now, until time.Time) bool {
+// Quarantine quarantines a request until a given time, and reports whether this started a new quarantine.
+func (s *Suspects) Quarantine(f fingerprint.Fingerprint, now, until time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.record(f, now)
@@ -191,8 +191,8 @@
 	return true
 }
 
-// Barred returns the remaining quarantine of a request at now, 0 if there is none.
-func (s *Suspects) Barred(f fingerprint.Fingerprint, now time.Time) time.Duration {
+// QuarantineLeft returns the remaining quarantine of a request at now, 0 if there is none.
+func (s *Suspects) QuarantineLeft(f fingerprint.Fingerprint, now time.Time) time.Duration {
 	if s.size.Load() == 0 {
 		return 0
 	}
@@ -231,16 +231,16 @@
 	defer s.mu.Unlock()
 	var list []Suspect
 	for f, r := range s.records {
-		one := Suspect{Print: f, Left: max(r.quarantinedUntil.Sub(now), 0), Recent: now.Sub(r.at) < recentTime}
-		if now.Sub(r.at) <= s.Lasts {
+		one := Suspect{Fingerprint: f, QuarantineLeft: max(r.quarantinedUntil.Sub(now), 0), Recent: now.Sub(r.at) < recentTime}
+		if now.Sub(r.at) <= s.Retention {
 			one.Ends = len(r.ends) // own count only: gateways that echo each other's counts would keep them alive forever
 		}
-		if one.Left > 0 || one.Ends >= minEnds {
+		if one.QuarantineLeft > 0 || one.Ends >= minEnds {
 			list = append(list, one)
 		}
 	}
 	slices.SortFunc(list, func(a, b Suspect) int {
-		return cmp.Or(cmp.Compare(b.Left, a.Left), cmp.Compare(b.Ends, a.Ends), cmp.Compare(a.Print, b.Print))
+		return cmp.Or(cmp.Compare(b.QuarantineLeft, a.QuarantineLeft), cmp.Compare(b.Ends, a.Ends), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
 	return list[:min(len(list), limit)]
 }
@@ -248,7 +248,7 @@
 // ends returns the number of ends of a record; s.mu is held.
 func (s *Suspects) ends(r *record, now time.Time) int {
 	n := 0
-	if now.Sub(r.at) <= s.Lasts {
+	if now.Sub(r.at) <= s.Retention {
 		n = len(r.ends)
 	}
 	if now.Before(r.reportedUntil) {
--- a/state/turnstile/turnstile.go
+++ b/state/turnstile/turnstile.go
@@ -8,14 +8,14 @@
 // no number of requests raises the count above zero.
 const closedOffset = -1 << 40
 
-// Turnstile counts requests in flight. Once it is closed, no request enters. The zero
-// Turnstile is open. It is safe for concurrent use.
-type Turnstile struct {
+// Counter counts requests in flight. Once it is closed, no request enters. The zero
+// Counter is open. It is safe for concurrent use.
+type Counter struct {
 	n atomic.Int64
 }
 
 // Enter counts a request and reports true, or false if the turnstile is closed.
-func (t *Turnstile) Enter() bool {
+func (t *Counter) Enter() bool {
 	if t.n.Add(1) > 0 {
 		return true
 	}
@@ -24,12 +24,12 @@
 }
 
 // Leave removes a request from the count.
-func (t *Turnstile) Leave() {
+func (t *Counter) Leave() {
 	t.n.Add(-1)
 }
 
 // Count returns the number of requests in flight.
-func (t *Turnstile) Count() int {
+func (t *Counter) Count() int {
 	n := t.n.Load()
 	if n < 0 {
 		n -= closedOffset
@@ -39,7 +39,7 @@
 
 // Close closes the turnstile if no request is in flight, or regardless of requests in flight
 // if force is set. It reports whether the turnstile is closed.
-func (t *Turnstile) Close(force bool) bool {
+func (t *Counter) Close(force bool) bool {
 	if t.n.CompareAndSwap(0, closedOffset) {
 		return true
 	}
--- a/state/watchcache/cache.go
+++ b/state/watchcache/cache.go
@@ -37,8 +37,8 @@
 // answer without changes. Otherwise the request waits for the next proof or change.
 const minGain = 150 * time.Millisecond
 
-// Question is a request of one gateway to another for changes and a newer freshness proof.
-type Question struct {
+// Request is a request of one gateway to another for changes and a newer freshness proof.
+type Request struct {
 	// After is the revision up to which the requester knows all changes.
 	After uint64
 	// Age is the age of the requester's proof.
@@ -58,9 +58,9 @@
 	Age time.Duration
 	// Sum is the checksum of the replica at the revision, 0 if unknown.
 	Sum uint64
-	// Held is how long the request waited. Whatever the network delay, the time of the answer's
-	// proof is at most Age less Held before the time at which the request was sent.
-	Held time.Duration
+	// Waited is how long the request waited. Whatever the network delay, the time of the answer's
+	// proof is at most Age less Waited before the time at which the request was sent.
+	Waited time.Duration
 }
 
 // ErrRefused reports that another gateway received a request and declined to answer it. The errors
@@ -69,13 +69,13 @@
 
 // The reasons for which a gateway refuses a request.
 var (
-	// ErrIndirect reports that the gateway does not query the store itself, or that the store has
+	// ErrNotDirect reports that the gateway does not query the store itself, or that the store has
 	// not answered it. Relaying such proofs would let their ages add up without bound.
-	ErrIndirect = fmt.Errorf("%w: this gateway does not have its changes from the store", ErrRefused)
-	// ErrForgotten reports a revision older than the retained changes.
-	ErrForgotten = fmt.Errorf("%w: the changes since then are no longer kept", ErrRefused)
-	// ErrNoNews reports that no newer proof arrived within the wait.
-	ErrNoNews = fmt.Errorf("%w: there was no newer proof in time", ErrRefused)
+	ErrNotDirect = fmt.Errorf("%w: this gateway does not have its changes from the store", ErrRefused)
+	// ErrNotRetained reports a revision older than the retained changes.
+	ErrNotRetained = fmt.Errorf("%w: the changes since then are no longer kept", ErrRefused)
+	// ErrNoNewerProof reports that no newer proof arrived within the wait.
+	ErrNoNewerProof = fmt.Errorf("%w: there was no newer proof in time", ErrRefused)
 )
 
 // Cache holds the recent changes of the store that a gateway knows. The zero Cache is empty.
@@ -120,9 +120,9 @@
 	c.notify()
 }
 
-// Begin replaces the content after a full read that yields no freshness proof. at is the revision
+// ResetUnproven replaces the content after a full read that yields no freshness proof. at is the revision
 // of its oldest page.
-func (c *Cache) Begin(at uint64) {
+func (c *Cache) ResetUnproven(at uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.changes, c.bytes, c.trimmed, c.at, c.sum, c.direct = nil, 0, at, at, 0, false
@@ -141,9 +141,9 @@
 	c.add(page, proven, direct, false, sum)
 }
 
-// AddFound records changes that were found by a full read requested at time sent, and not by a
+// AddFromScan records changes that were found by a full read requested at time sent, and not by a
 // watch.
-func (c *Cache) AddFound(page kv.Page, sent time.Time, sum uint64) {
+func (c *Cache) AddFromScan(page kv.Page, sent time.Time, sum uint64) {
 	c.add(page, sent, true, true, sum)
 }
 
@@ -195,8 +195,8 @@
 	return c.Now()
 }
 
-// Fail records that the store did not answer; other gateways must query another source.
-func (c *Cache) Fail() {
+// SetIndirect records that the store did not answer; other gateways must query another source.
+func (c *Cache) SetIndirect() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.direct = false
@@ -216,9 +216,9 @@
 	}
 }
 
-// Ask answers a request of another gateway, at once if there are changes or a sufficiently newer
+// Query answers a request of another gateway, at once if there are changes or a sufficiently newer
 // proof, and otherwise as soon as there are. It returns ErrNoNews if there are none within q.Wait.
-func (c *Cache) Ask(ctx context.Context, q Question) (Answer, error) {
+func (c *Cache) Query(ctx context.Context, q Request) (Answer, error) {
 	start := c.now()
 	timer := time.NewTimer(q.Wait)
 	defer timer.Stop()
@@ -231,7 +231,7 @@
 		case <-ctx.Done():
 			return Answer{}, ctx.Err()
 		case <-timer.C:
-			return Answer{}, ErrNoNews
+			return Answer{}, ErrNoNewerProof
 		case <-next:
 		}
 	}
@@ -239,7 +239,7 @@
 
 // tryAnswer returns the answer to a request received at start. If there is none yet, it returns a
 // channel that is closed when the caller should try again.
-func (c *Cache) tryAnswer(q Question, start time.Time) (Answer, <-chan struct{}, error) {
+func (c *Cache) tryAnswer(q Request, start time.Time) (Answer, <-chan struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
@@ -247,16 +247,16 @@
 	age := now.Sub(c.proven)
 	switch {
 	case !c.direct:
-		return Answer{}, nil, ErrIndirect
+		return Answer{}, nil, ErrNotDirect
 	case q.After < c.trimmed:
-		return Answer{}, nil, ErrForgotten
+		return Answer{}, nil, ErrNotRetained
 	case q.After >= c.at && age+minGain > q.Age+held:
 		if c.changed == nil {
 			c.changed = make(chan struct{})
 		}
 		return Answer{}, c.changed, nil
 	}
-	a := Answer{At: c.at, Age: age, Held: held, Sum: c.sum}
+	a := Answer{At: c.at, Age: age, Waited: held, Sum: c.sum}
 	for _, one := range c.changes {
 		if one.late || one.Revision > q.After {
 			a.Pairs = append(a.Pairs, one.Pair)
--- a/state/watchcache/feed.go
+++ b/state/watchcache/feed.go
@@ -51,7 +51,7 @@
 
 // Source queries another gateway.
 type Source interface {
-	Ask(ctx context.Context, address string, q Question) (Answer, error)
+	Query(ctx context.Context, address string, q Request) (Answer, error)
 }
 
 // Feed is a kv.Feed that queries other gateways where possible, and the store otherwise.
@@ -68,9 +68,9 @@
 	// queries the store itself. If standby is set, it also queries the store when none of them has
 	// an answer.
 	Sources func() (addresses []string, standby bool)
-	// Age returns the age of this gateway's freshness proof. LateIn returns the time until the
+	// Age returns the age of this gateway's freshness proof. OverdueIn returns the time until the
 	// proof is overdue, which bounds the wait for another gateway's answer.
-	Age, LateIn func() time.Duration
+	Age, OverdueIn func() time.Duration
 	// Cache holds what other gateways may request from this one.
 	Cache *Cache
 	Log   zerolog.Logger
@@ -116,9 +116,9 @@
 
 var _ kv.Feed = (*Feed)(nil)
 
-// Cut reports whether a call of this gateway to the store failed recently, so that other gateways
+// StoreFailedRecently reports whether a call of this gateway to the store failed recently, so that other gateways
 // should query the store instead.
-func (f *Feed) Cut(now time.Time) bool {
+func (f *Feed) StoreFailedRecently(now time.Time) bool {
 	return now.UnixNano()-f.failed.Load() < int64(failureWindow)
 }
 
@@ -183,12 +183,12 @@
 	sum := f.scan.seen.sumAt(f.scan.at)
 	switch {
 	case f.scan.stale || f.scan.at < f.scan.first: // yields no freshness proof
-		f.Cache.Begin(f.scan.at)
+		f.Cache.ResetUnproven(f.scan.at)
 	case !f.replica.loaded():
 		f.Cache.Reset(f.scan.at, f.scan.sent, sum)
 	default:
 		page := kv.Page{Pairs: f.scan.differences(f.replica.revisions), At: f.scan.at}
-		f.Cache.AddFound(page, f.scan.sent, sum)
+		f.Cache.AddFromScan(page, f.scan.sent, sum)
 	}
 	f.replica = f.scan.seen
 	f.scan = scan{}
@@ -221,11 +221,11 @@
 	var last error
 	answered, forgotten := false, false
 	for _, address := range f.silent.last(addresses, time.Now()) {
-		q := Question{After: revision, Age: f.Age()}
+		q := Request{After: revision, Age: f.Age()}
 		if wait > 0 {
-			q.Wait = max(f.LateIn(), minPeerWait)
+			q.Wait = max(f.OverdueIn(), minPeerWait)
 		}
-		answer, err := f.Source.Ask(ctx, address, q)
+		answer, err := f.Source.Query(ctx, address, q)
 		if err == nil {
 			f.logSource(address, nil)
 			return f.applyRelayed(address, answer, revision, sent)
@@ -238,13 +238,13 @@
 		} else {
 			f.silent.note(address, time.Now())
 		}
-		last, forgotten = err, forgotten || errors.Is(err, ErrForgotten)
+		last, forgotten = err, forgotten || errors.Is(err, ErrNotRetained)
 	}
 	if forgotten { // the store retains more history, and a full read takes several calls
 		return f.askStore(ctx, prefix, revision, 0)
 	}
 	if !f.mayAskStore(answered && !standby, time.Now()) {
-		return kv.Page{}, trace.Wrap(&kv.UnaskedError{Err: last})
+		return kv.Page{}, trace.Wrap(&kv.NotSentError{Err: last})
 	}
 	f.logSource("", last)
 	return f.askStore(ctx, prefix, revision, 0)
@@ -256,7 +256,7 @@
 func (f *Feed) mayAskStore(leaveToOthers bool, now time.Time) bool {
 	next, interval := &f.next, fallbackInterval
 	if leaveToOthers {
-		if f.LateIn() > -staleFallbackAfter {
+		if f.OverdueIn() > -staleFallbackAfter {
 			return false
 		}
 		if !f.proven && f.nextStale.IsZero() {
@@ -275,7 +275,7 @@
 // revision, sent at time sent. If the replicas of both gateways differ at the same revision, one
 // of them lacks a change, and it returns a CompactedError to cause a full read.
 func (f *Feed) applyRelayed(address string, a Answer, revision uint64, sent time.Time) (kv.Page, error) {
-	page := kv.Page{Pairs: a.Pairs, At: a.At, Lag: a.Age - a.Held, Paced: true}
+	page := kv.Page{Pairs: a.Pairs, At: a.At, Lag: a.Age - a.Waited, RateLimited: true}
 	page, sum := f.apply(page, sent.Add(-page.Lag), false, revision)
 	if a.Sum == 0 || sum == 0 || a.Sum == sum || revision > a.At || time.Since(f.compared) < compareInterval {
 		return page, nil
@@ -365,7 +365,7 @@
 		return
 	}
 	f.failed.Store(time.Now().UnixNano())
-	f.Cache.Fail()
+	f.Cache.SetIndirect()
 }
 
 // logSource logs a change of the source of changes.
--- a/state/watchcache/proof_test.go
+++ b/state/watchcache/proof_test.go
@@ -244,11 +244,11 @@
 		defer p.mu.Unlock()
 		return time.Since(p.proven)
 	}
-	p.feed.LateIn = func() time.Duration { return 2*questionWait - p.feed.Age() }
+	p.feed.OverdueIn = func() time.Duration { return 2*questionWait - p.feed.Age() }
 	m := mirror.Mirror{
-		Feed: &p.feed, Wait: questionWait, Settle: settle, Log: zerolog.Nop(),
-		Put:  func(pair kv.Pair) { p.held[pair.Key] = max(p.held[pair.Key], pair.Revision) },
-		Gone: func(string, uint64) {}, Confirm: p.confirm, Lost: func(error) {},
+		Feed: &p.feed, Wait: questionWait, MinInterval: settle, Log: zerolog.Nop(),
+		Put:     func(pair kv.Pair) { p.held[pair.Key] = max(p.held[pair.Key], pair.Revision) },
+		Removed: func(string, uint64) {}, Confirm: p.confirm, StoreFailed: func(error) {},
 		Unhurried: func() bool { return p.unhurried },
 	}
 	m.Run(ctx)
@@ -262,10 +262,10 @@
 	blind bool
 }
 
-// Ask implements watchcache.Source.
-func (s source) Ask(ctx context.Context, address string, q watchcache.Question) (watchcache.Answer, error) {
+// Query implements watchcache.Source.
+func (s source) Query(ctx context.Context, address string, q watchcache.Request) (watchcache.Answer, error) {
 	time.Sleep(s.s.delay())
-	answer, err := s.named[address].cache.Ask(ctx, q)
+	answer, err := s.named[address].cache.Query(ctx, q)
 	time.Sleep(s.s.delay())
 	if s.s.lost() {
 		return watchcache.Answer{}, errLost
--- a/state/witnesses/witnesses.go
+++ b/state/witnesses/witnesses.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Witnesses holds the reporters of one fact. Set the exported field before the first use.
-type Witnesses struct {
-	// Fresh is how long a report counts.
-	Fresh time.Duration
+// Reporters holds the reporters of one fact. Set the exported field before the first use.
+type Reporters struct {
+	// ReportLifetime is how long a report counts.
+	ReportLifetime time.Duration
 
 	mu      sync.Mutex // guards what follows
 	reports map[string]time.Time
 }
 
-// Say records a report by a named reporter, and returns the number of recent reporters.
-func (w *Witnesses) Say(name string, now time.Time) int {
+// Report records a report by a named reporter, and returns the number of recent reporters.
+func (w *Reporters) Report(name string, now time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.reports == nil {
@@ -27,16 +27,16 @@
 }
 
 // Count returns the number of recent reporters.
-func (w *Witnesses) Count(now time.Time) int {
+func (w *Reporters) Count(now time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.count(now)
 }
 
 // count drops expired reports and returns the number of the others; w.mu is held.
-func (w *Witnesses) count(now time.Time) int {
+func (w *Reporters) count(now time.Time) int {
 	for name, at := range w.reports {
-		if now.Sub(at) > w.Fresh {
+		if now.Sub(at) > w.ReportLifetime {
 			delete(w.reports, name)
 		}
 	}
--- a/state/witnesses/witnesses_test.go
+++ b/state/witnesses/witnesses_test.go
@@ -11,11 +11,11 @@
 
 func TestWitnesses(t *testing.T) {
 	now := time.Now()
-	w := witnesses.Witnesses{Fresh: time.Second}
+	w := witnesses.Reporters{ReportLifetime: time.Second}
 	require.Zero(t, w.Count(now))
-	require.Equal(t, 1, w.Say("a", now))
-	require.Equal(t, 1, w.Say("a", now.Add(100*time.Millisecond)))
-	require.Equal(t, 2, w.Say("b", now.Add(900*time.Millisecond)))
+	require.Equal(t, 1, w.Report("a", now))
+	require.Equal(t, 1, w.Report("a", now.Add(100*time.Millisecond)))
+	require.Equal(t, 2, w.Report("b", now.Add(900*time.Millisecond)))
 	require.Equal(t, 1, w.Count(now.Add(1200*time.Millisecond)))
 	require.Zero(t, w.Count(now.Add(time.Minute)))
 }
--- a/test/proof/config_test.go
+++ b/test/proof/config_test.go
@@ -82,7 +82,7 @@
 	}
 	if f.unconditional {
 		if pair, err := f.Store.Get(ctx, w.Key); err == nil {
-			w.If = pair.Revision
+			w.IfRevision = pair.Revision
 		}
 	}
 	// A write in flight takes effect whether or not its sender still waits.
@@ -152,7 +152,7 @@
 			ClientId: who, Input: in, Call: call, Output: out, Return: time.Now().UnixNano(),
 		})
 		mu.Unlock()
-		_ = log.Pull(context.Background())
+		_ = log.Refresh(context.Background())
 	}
 }
 
@@ -184,7 +184,7 @@
 		store.mu.Unlock()
 		time.Sleep(time.Minute) // writes in flight arrive
 		for _, log := range logs {
-			_ = log.Pull(ctx)
+			_ = log.Refresh(ctx)
 			r.final = append(r.final, log.Replica.Current().State)
 		}
 		last := headlog.Log{Store: store, Key: "config/head"}
--- a/test/proof/once_test.go
+++ b/test/proof/once_test.go
@@ -90,8 +90,8 @@
 
 func (lostCall) Error() string { return "no answer" }
 
-// Enter implements runonce.Seats.
-func (s *cluster) Enter(context.Context, map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
+// Reserve implements runonce.Seats.
+func (s *cluster) Reserve(context.Context, map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
 	return s.agent().endpoint(), func() {}, nil
 }
 
@@ -226,7 +226,7 @@
 			outcomes[keyName(key)] = new(tally)
 		}
 		for range onceEntries {
-			log := &claimlog.Log{Store: store, Keep: time.Minute, Gather: time.Millisecond, Timeout: time.Second}
+			log := &claimlog.Log{Store: store, Retention: time.Minute, BatchDelay: time.Millisecond, Timeout: time.Second}
 			var claims runonce.Claimer = log
 			if s.withoutClaims {
 				claims = s
