--- a/adapter/ingress/conn.go
+++ b/adapter/ingress/conn.go
@@ -63,7 +63,7 @@
 	if headStarted := c.headStarted.Load(); headStarted != 0 && now.UnixNano()-headStarted < int64(headReadGrace) {
 		return true
 	}
-	waits, err := peek.Pending(c.Conn)
+	waits, err := peek.HasUnread(c.Conn)
 	return err == nil && waits
 }
 
@@ -87,9 +87,9 @@
 // a request head, at now.
 func (c *conn) overdue(l Limits, now time.Time) bool {
 	if headStarted := c.headStarted.Load(); headStarted != 0 {
-		return l.HeadWait > 0 && now.UnixNano()-headStarted > int64(l.HeadWait)
+		return l.HeaderTimeout > 0 && now.UnixNano()-headStarted > int64(l.HeaderTimeout)
 	}
-	return l.Idle > 0 && now.UnixNano()-c.idleSince.Load() > int64(l.Idle)
+	return l.IdleTimeout > 0 && now.UnixNano()-c.idleSince.Load() > int64(l.IdleTimeout)
 }
 
 // headSize returns the size in bytes of the recorded request head, or of all recorded bytes if
--- a/adapter/ingress/server.go
+++ b/adapter/ingress/server.go
@@ -29,11 +29,11 @@
 
 // Limits are the limits on callers' connections. A zero field means no limit.
 type Limits struct {
-	// Idle is the maximum time that a connection may be idle between requests.
-	Idle time.Duration
-	// HeadBytes is the maximum size of a request head, HeadWait the maximum time to read it.
-	HeadBytes int
-	HeadWait  time.Duration
+	// IdleTimeout is the maximum time that a connection may be idle between requests.
+	IdleTimeout time.Duration
+	// MaxHeaderBytes is the maximum size of a request head, HeadWait the maximum time to read it.
+	MaxHeaderBytes int
+	HeaderTimeout  time.Duration
 }
 
 // sweepInterval is the interval between checks for overdue connections.
@@ -58,16 +58,16 @@
 // connKey is the context key of a request's connection.
 type connKey struct{}
 
-// Left reports whether the caller of the request with the given context has closed its
+// CallerDisconnected reports whether the caller of the request with the given context has closed its
 // connection. The request's context is also cancelled then, but only once the process has had
 // time to read the end of the stream; a request that was left unread for long may no longer
 // have a caller.
-func Left(ctx context.Context) bool {
+func CallerDisconnected(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	if !ok {
 		return false
 	}
-	_, err := peek.Pending(c.Conn)
+	_, err := peek.HasUnread(c.Conn)
 	return err != nil
 }
 
@@ -135,7 +135,7 @@
 	if s.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	if maxHead := s.limits().HeadBytes; maxHead > 0 && c.headSize() > maxHead {
+	if maxHead := s.limits().MaxHeaderBytes; maxHead > 0 && c.headSize() > maxHead {
 		w.Header().Set("Connection", "close")
 		http.Error(w, "the head of the request is too long", http.StatusRequestHeaderFieldsTooLarge)
 		return
@@ -162,13 +162,13 @@
 	}
 }
 
-// Retire makes each connection close after its next response.
-func (s *Server) Retire() {
+// CloseAfterResponses makes each connection close after its next response.
+func (s *Server) CloseAfterResponses() {
 	s.stopping.Store(true)
 }
 
-// Quiet reports whether no connection is serving a request or has an unread one.
-func (s *Server) Quiet() bool {
+// Idle reports whether no connection is serving a request or has an unread one.
+func (s *Server) Idle() bool {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/adapter/ingress/server_test.go
+++ b/adapter/ingress/server_test.go
@@ -99,13 +99,13 @@
 		_, err := io.WriteString(c, request)
 		s.Stop()
 		require.NoError(t, err)
-		require.False(t, s.Quiet())
+		require.False(t, s.Idle())
 		answer, err := http.ReadResponse(r, nil)
 		require.NoError(t, err)
 		require.True(t, answer.Close)
 		_, err = io.Copy(io.Discard, answer.Body)
 		require.NoError(t, err)
-		require.Eventually(t, s.Quiet, waitTimeout, time.Millisecond)
+		require.Eventually(t, s.Idle, waitTimeout, time.Millisecond)
 	}
 }
 
@@ -122,7 +122,7 @@
 		}), ingress.Limits{})
 		c, r := dial(t, s)
 		require.False(t, ask(t, c, r).Close)
-		s.Retire()
+		s.CloseAfterResponses()
 		_, err := io.WriteString(c, request)
 		var answer *http.Response
 		if err == nil {
@@ -140,7 +140,7 @@
 }
 
 func TestIdleTimeIsBounded(t *testing.T) {
-	s := start(t, http.NotFoundHandler(), ingress.Limits{Idle: 10 * time.Millisecond})
+	s := start(t, http.NotFoundHandler(), ingress.Limits{IdleTimeout: 10 * time.Millisecond})
 	c, r := dial(t, s)
 	ask(t, c, r)
 	_, err := r.ReadByte()
@@ -161,7 +161,7 @@
 	_, err := io.WriteString(c, request)
 	require.NoError(t, err)
 	<-entered
-	s.Retire()
+	s.CloseAfterResponses()
 	close(release)
 	answer, err := http.ReadResponse(r, nil)
 	require.NoError(t, err)
@@ -175,7 +175,7 @@
 
 // A request head longer than the limit is refused, and its connection is closed.
 func TestLongHeadIsRefused(t *testing.T) {
-	s := start(t, http.NotFoundHandler(), ingress.Limits{HeadBytes: 200})
+	s := start(t, http.NotFoundHandler(), ingress.Limits{MaxHeaderBytes: 200})
 	c, r := dial(t, s)
 	require.Equal(t, http.StatusNotFound, ask(t, c, r).StatusCode)
 	_, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\nX-Long: "+strings.Repeat("x", 200)+"\r\n\r\n")
@@ -192,7 +192,7 @@
 // A connection is closed if its request head takes longer than the limit, but not if no head
 // has started.
 func TestSlowHeadEndsTheConnection(t *testing.T) {
-	s := start(t, http.NotFoundHandler(), ingress.Limits{HeadWait: 10 * time.Millisecond})
+	s := start(t, http.NotFoundHandler(), ingress.Limits{HeaderTimeout: 10 * time.Millisecond})
 	idle, idleReader := dial(t, s)
 	slow, r := dial(t, s)
 	_, err := io.WriteString(slow, "GET / HTTP/1.1\r\nHo")
--- a/adapter/link/set.go
+++ b/adapter/link/set.go
@@ -34,8 +34,8 @@
 	// Name and Incarnation identify this process in the hello.
 	Name        string
 	Incarnation uint64
-	// Down is called when the connection to a peer breaks, without locks held.
-	Down func(address string)
+	// OnDisconnect is called when the connection to a peer breaks, without locks held.
+	OnDisconnect func(address string)
 	// Log receives a line for each broken connection.
 	Log zerolog.Logger
 
@@ -69,8 +69,8 @@
 	s.queue(address, func(b *wire.Batch) { b.Heartbeats = append(b.Heartbeats, m) })
 }
 
-// News queues an update for the process at address.
-func (s *Set) News(address string, m *wire.News) {
+// Update queues an update for the process at address.
+func (s *Set) Update(address string, m *wire.News) {
 	s.queue(address, func(b *wire.Batch) { b.News = append(b.News, m) })
 }
 
@@ -140,8 +140,8 @@
 		level = zerolog.InfoLevel
 	}
 	s.Log.WithLevel(level).Str("peer", p.address).AnErr("cause", err).Msg("step connection lost")
-	if s.Down != nil {
-		s.Down(p.address)
+	if s.OnDisconnect != nil {
+		s.OnDisconnect(p.address)
 	}
 }
 
--- a/adapter/meter/gateway.go
+++ b/adapter/meter/gateway.go
@@ -154,5 +154,5 @@
 // PlatformCall counts a call to an endpoint's control interface.
 func (m *Gateway) PlatformCall(kind string) { m.platform.WithLabelValues(kind).Inc() }
 
-// Dropped counts dropped log lines.
-func (m *Gateway) Dropped(n int) { m.dropped.Add(float64(n)) }
+// DroppedLogLines counts dropped log lines.
+func (m *Gateway) DroppedLogLines(n int) { m.dropped.Add(float64(n)) }
--- a/adapter/peek/peek_test.go
+++ b/adapter/peek/peek_test.go
@@ -24,7 +24,7 @@
 	defer far.Close() //nolint:errcheck // a test's connection
 	state := func(pending bool, want error) func() bool {
 		return func() bool {
-			p, err := peek.Pending(far)
+			p, err := peek.HasUnread(far)
 			return p == pending && err == want
 		}
 	}
@@ -47,9 +47,9 @@
 	require.Eventually(t, state(false, io.EOF), waitTimeout, poll)
 	require.ErrorIs(t, <-read, io.EOF)
 	require.NoError(t, far.Close())
-	_, err = peek.Pending(far)
+	_, err = peek.HasUnread(far)
 	require.ErrorIs(t, err, net.ErrClosed)
 	one, _ := net.Pipe()
-	_, err = peek.Pending(one)
+	_, err = peek.HasUnread(one)
 	require.Error(t, err)
 }
--- a/adapter/platformhttp/client.go
+++ b/adapter/platformhttp/client.go
@@ -41,8 +41,8 @@
 type Client struct {
 	// Base is the service's base URL, such as "http://10.0.0.5:9000".
 	Base string
-	// Counted, if set, is called with the kind of each call.
-	Counted func(kind string)
+	// OnCall, if set, is called with the kind of each call.
+	OnCall func(kind string)
 
 	http http.Client
 }
@@ -109,8 +109,8 @@
 
 // call sends request to a method and decodes the answer into reply.
 func (c *Client) call(ctx context.Context, method, query string, request, reply any) error {
-	if c.Counted != nil {
-		c.Counted(method)
+	if c.OnCall != nil {
+		c.OnCall(method)
 	}
 	timeout := callTimeout
 	if method == "watch" {
--- a/adapter/probe/prober.go
+++ b/adapter/probe/prober.go
@@ -23,9 +23,9 @@
 type Prober struct {
 	// Control sends the request for a report.
 	Control runner.Control
-	// Silence returns the reason to give up a request, or nil once answered is closed. If nil,
-	// the function Silence of this package is used.
-	Silence func(answered <-chan struct{}) error
+	// AwaitAnswer returns the reason to give up a request, or nil once answered is closed. If nil,
+	// the function AwaitAnswer of this package is used.
+	AwaitAnswer func(answered <-chan struct{}) error
 	// Reference returns the address of another live endpoint, empty for none. An endpoint that
 	// seems silent is compared with it: if neither answers in time, the network path is
 	// congested.
@@ -44,15 +44,15 @@
 	err       error
 }
 
-// Ask returns the report of the endpoint at address; it asks the endpoint unless a recent
+// Report returns the report of the endpoint at address; it asks the endpoint unless a recent
 // report is known. The error is ErrHeldUp if it is uncertain whether the endpoint is alive.
-func (p *Prober) Ask(ctx context.Context, address string) (runner.Report, error) {
-	return p.AskSince(ctx, address, time.Time{})
+func (p *Prober) Report(ctx context.Context, address string) (runner.Report, error) {
+	return p.ReportSince(ctx, address, time.Time{})
 }
 
-// AskSince is like Ask, but does not use the answer to a request sent before since, which
+// ReportSince is like Ask, but does not use the answer to a request sent before since, which
 // cannot show what has happened up to then.
-func (p *Prober) AskSince(ctx context.Context, address string, since time.Time) (runner.Report, error) {
+func (p *Prober) ReportSince(ctx context.Context, address string, since time.Time) (runner.Report, error) {
 	entry := p.probeOf(address)
 	entry.mu.Lock()
 	defer entry.mu.Unlock()
@@ -64,13 +64,13 @@
 	defer cancel(nil)
 	answered := make(chan struct{})
 	defer close(answered)
-	silence := p.Silence
+	silence := p.AwaitAnswer
 	if silence == nil {
-		silence = Silence
+		silence = AwaitAnswer
 	}
 	go func() {
 		err := silence(answered)
-		if err != nil && !errors.Is(err, ErrHeldUp) {
+		if err != nil && !errors.Is(err, ErrUncertain) {
 			err = p.compare(ctx, address, err, answered)
 		}
 		if err != nil {
@@ -100,7 +100,7 @@
 	defer cancel()
 	var refused *runner.RefusedError
 	if _, err := p.Control.Report(ctx, reference); err != nil && !errors.As(err, &refused) {
-		return ErrHeldUp
+		return ErrUncertain
 	}
 	if answeredWithin(answered, readGrace) {
 		return nil
@@ -120,7 +120,7 @@
 	case cause != nil:
 		return fmt.Errorf("%w: %w", cause, err)
 	case errors.As(err, &late) && late.Timeout():
-		return fmt.Errorf("%w: %w", ErrHeldUp, err)
+		return fmt.Errorf("%w: %w", ErrUncertain, err)
 	}
 	return err
 }
--- a/adapter/probe/prober_test.go
+++ b/adapter/probe/prober_test.go
@@ -44,14 +44,14 @@
 		silence func(<-chan struct{}) error
 		want    error
 	}{
-		"starved process":            {func(<-chan struct{}) error { return probe.ErrHeldUp }, probe.ErrHeldUp},
-		"timeout of the client only": {never, probe.ErrHeldUp},
+		"starved process":            {func(<-chan struct{}) error { return probe.ErrUncertain }, probe.ErrUncertain},
+		"timeout of the client only": {never, probe.ErrUncertain},
 		"silent":                     {func(<-chan struct{}) error { return errSilent }, errSilent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := probe.Prober{Control: control{causeHider: causeHider{time.Second}}, Silence: c.silence}
-				_, err := p.Ask(t.Context(), "endpoint")
+				p := probe.Prober{Control: control{causeHider: causeHider{time.Second}}, AwaitAnswer: c.silence}
+				_, err := p.Report(t.Context(), "endpoint")
 				require.ErrorIs(t, err, c.want)
 			})
 		})
@@ -102,9 +102,9 @@
 		want   error
 	}{
 		"reference answers": {map[string]time.Duration{"other": quick}, errSilent},
-		"neither in time":   {map[string]time.Duration{"other": congested, "endpoint": congested}, probe.ErrHeldUp},
+		"neither in time":   {map[string]time.Duration{"other": congested, "endpoint": congested}, probe.ErrUncertain},
 		"endpoint answers":  {map[string]time.Duration{"other": quick, "endpoint": 75 * time.Millisecond}, nil},
-		"nothing answers":   {map[string]time.Duration{}, probe.ErrHeldUp},
+		"nothing answers":   {map[string]time.Duration{}, probe.ErrUncertain},
 		"slow endpoint":     {map[string]time.Duration{"other": quick, "endpoint": congested}, errSilent},
 		"quick endpoint":    {map[string]time.Duration{"endpoint": quick}, nil},
 	} {
@@ -113,7 +113,7 @@
 				p := probe.Prober{
 					Control:   delayed{delays: c.delays},
 					Reference: func(string) string { return "other" },
-					Silence: func(answered <-chan struct{}) error {
+					AwaitAnswer: func(answered <-chan struct{}) error {
 						select {
 						case <-answered:
 							return nil
@@ -122,7 +122,7 @@
 						}
 					},
 				}
-				_, err := p.Ask(t.Context(), "endpoint")
+				_, err := p.Report(t.Context(), "endpoint")
 				require.ErrorIs(t, err, c.want)
 			})
 		})
@@ -149,7 +149,7 @@
 		c := new(counting)
 		p := probe.Prober{Control: c}
 		ask := func(since time.Time) {
-			_, err := p.AskSince(t.Context(), "endpoint", since)
+			_, err := p.ReportSince(t.Context(), "endpoint", since)
 			require.NoError(t, err)
 		}
 		ask(time.Time{})
--- a/adapter/probe/refusal.go
+++ b/adapter/probe/refusal.go
@@ -12,9 +12,9 @@
 // few milliseconds apart.
 const connectTimeout = 300 * time.Millisecond
 
-// Refuses reports whether the host at address refuses connections, so that the process has
+// ConnectionRefused reports whether the host at address refuses connections, so that the process has
 // ended. Silence proves nothing.
-func Refuses(ctx context.Context, address string) bool {
+func ConnectionRefused(ctx context.Context, address string) bool {
 	dialer := net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
 	c, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/adapter/probe/silence.go
+++ b/adapter/probe/silence.go
@@ -31,12 +31,12 @@
 	maxTimerDelayBusy = 8 * time.Millisecond
 )
 
-// Silence waits for answered to be closed and returns nil once it is. It returns a
+// AwaitAnswer waits for answered to be closed and returns nil once it is. It returns a
 // *SilentError if a span passes without an answer while this process used little processor
 // time and its timers fired on time. In a starved process the answer may lie unread, so
-// Silence waits again; after maxSpans it judges by the timer delay alone and returns ErrHeldUp
+// AwaitAnswer waits again; after maxSpans it judges by the timer delay alone and returns ErrHeldUp
 // if that is too long.
-func Silence(answered <-chan struct{}) error {
+func AwaitAnswer(answered <-chan struct{}) error {
 	var timerDelay time.Duration
 	busy := 0.0
 	for range maxSpans {
@@ -54,7 +54,7 @@
 	if timerDelay <= maxTimerDelayBusy {
 		return &SilentError{Busy: busy}
 	}
-	return ErrHeldUp
+	return ErrUncertain
 }
 
 // answeredWithin reports whether answered is closed within d.
@@ -79,6 +79,6 @@
 	return fmt.Sprintf("no answer in time while this process used %.3f of a processor", e.Busy)
 }
 
-// ErrHeldUp reports that no answer was seen, but that this process was starved of processor
+// ErrUncertain reports that no answer was seen, but that this process was starved of processor
 // time or the network path congested, so that the endpoint may have answered.
-var ErrHeldUp = errors.New("this process was starved of processor time, so it is uncertain whether the endpoint answered")
+var ErrUncertain = errors.New("this process was starved of processor time, so it is uncertain whether the endpoint answered")
--- a/adapter/rpc/client.go
+++ b/adapter/rpc/client.go
@@ -42,8 +42,8 @@
 	return e.Err
 }
 
-// LostError reports a call without an answer; it may have run.
-type LostError struct {
+// NoReplyError reports a call without an answer; it may have run.
+type NoReplyError struct {
 	// Address is the peer.
 	Address string
 	// Err is the cause.
@@ -51,12 +51,12 @@
 }
 
 // Error returns the peer and the cause.
-func (e *LostError) Error() string {
+func (e *NoReplyError) Error() string {
 	return fmt.Sprintf("no answer from %s: %v", e.Address, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *LostError) Unwrap() error {
+func (e *NoReplyError) Unwrap() error {
 	return e.Err
 }
 
@@ -83,7 +83,7 @@
 		return c.failed(ctx, address, conn, err)
 	}
 	if err := protojson.Unmarshal(result, reply); err != nil {
-		return trace.Wrap(&LostError{address, err})
+		return trace.Wrap(&NoReplyError{address, err})
 	}
 	return nil
 }
@@ -108,7 +108,7 @@
 	if ctx.Err() == nil {
 		c.drop(address, conn)
 	}
-	return trace.Wrap(&LostError{address, err})
+	return trace.Wrap(&NoReplyError{address, err})
 }
 
 func (c *Client) drop(address string, conn *jsonrpc2.Conn) {
--- a/adapter/upstream/call.go
+++ b/adapter/upstream/call.go
@@ -23,14 +23,14 @@
 	Body   []byte
 	// HasBody is set if the original request had a body, even an empty one.
 	HasBody bool
-	// Rest is the maximum time that a connection may have been idle to be reused.
-	Rest time.Duration
-	// Mine reports whether a response with these headers belongs to this request. Other
+	// MaxIdle is the maximum time that a connection may have been idle to be reused.
+	MaxIdle time.Duration
+	// Matches reports whether a response with these headers belongs to this request. Other
 	// responses are skipped, since an endpoint may answer a request twice.
-	Mine func(http.Header) bool
-	// Wrote, if set, is called just before the request is written: from then on the endpoint
+	Matches func(http.Header) bool
+	// BeforeWrite, if set, is called just before the request is written: from then on the endpoint
 	// may receive it.
-	Wrote func()
+	BeforeWrite func()
 }
 
 // SendError reports a call that failed before the complete head of its response was read.
@@ -52,12 +52,12 @@
 	return e.Err
 }
 
-// StrayAnswerError reports more responses that belong to other requests than are skipped.
-type StrayAnswerError struct {
+// StrayResponseError reports more responses that belong to other requests than are skipped.
+type StrayResponseError struct {
 	Status int
 }
 
-func (e *StrayAnswerError) Error() string {
+func (e *StrayResponseError) Error() string {
 	return fmt.Sprintf("too many answers that belong to other requests, the last with status %d", e.Status)
 }
 
@@ -69,15 +69,15 @@
 
 // Do sends a call and returns once the head of its response has been read. It closes the
 // connection when ctx ends. Errors are *SendError.
-func (p *Pool) Do(ctx context.Context, c Call) (*Answer, error) {
-	connection, err := p.take(ctx, c.Address, c.Rest)
+func (p *Pool) Do(ctx context.Context, c Call) (*Response, error) {
+	connection, err := p.take(ctx, c.Address, c.MaxIdle)
 	if err != nil {
 		return nil, &SendError{Err: err}
 	}
-	a := &Answer{pool: p, conn: connection, address: c.Address}
+	a := &Response{pool: p, conn: connection, address: c.Address}
 	a.stop = context.AfterFunc(ctx, func() { _ = connection.Close() })
-	if c.Wrote != nil {
-		c.Wrote()
+	if c.BeforeWrite != nil {
+		c.BeforeWrite()
 	}
 	if err := a.write(c); err != nil {
 		a.Close()
@@ -98,13 +98,13 @@
 	return err
 }
 
-// Answer is a response whose body has not been read yet.
-type Answer struct {
+// Response is a response whose body has not been read yet.
+type Response struct {
 	Status int
 	Header http.Header
-	// Unframed is set if the body has no length and no chunks, so that only the end of the
+	// EndsAtClose is set if the body has no length and no chunks, so that only the end of the
 	// connection ends it.
-	Unframed bool
+	EndsAtClose bool
 
 	pool    *Pool
 	conn    *conn
@@ -121,7 +121,7 @@
 
 // write sends the request. It writes a long body concurrently with reading the response, which
 // may arrive before the body is complete.
-func (a *Answer) write(c Call) error {
+func (a *Response) write(c Call) error {
 	var b bytes.Buffer
 	b.Grow(1024 + min(len(c.Body), inlineBody))
 	b.WriteString(c.Method + " " + c.Target + " HTTP/1.1\r\nHost: " + c.Host + "\r\n")
@@ -148,7 +148,7 @@
 
 // writeBody writes a long body. A write error is not returned: it shows when the response is
 // read.
-func (a *Answer) writeBody(body []byte) {
+func (a *Response) writeBody(body []byte) {
 	if _, err := a.conn.Write(body); err == nil {
 		close(a.written)
 	}
@@ -156,7 +156,7 @@
 
 // readHead reads the head of the response to c, skipping interim responses and those to other
 // requests.
-func (a *Answer) readHead(c Call) error {
+func (a *Response) readHead(c Call) error {
 	request := &http.Request{Method: c.Method}
 	for stray := 0; ; {
 		response, err := http.ReadResponse(a.conn.reader, request)
@@ -166,7 +166,7 @@
 		switch {
 		case response.StatusCode < http.StatusOK: // interim response
 			continue
-		case c.Mine == nil || c.Mine(response.Header):
+		case c.Matches == nil || c.Matches(response.Header):
 			a.accept(response, stray > 0)
 			return nil
 		}
@@ -174,17 +174,17 @@
 			return err
 		}
 		if stray++; stray > maxStray || response.Close {
-			return &StrayAnswerError{Status: response.StatusCode}
+			return &StrayResponseError{Status: response.StatusCode}
 		}
 	}
 }
 
 // accept stores the head of the response r. afterStray is set if a response to another request
 // came before it; the connection is not reused then.
-func (a *Answer) accept(r *http.Response, afterStray bool) {
+func (a *Response) accept(r *http.Response, afterStray bool) {
 	a.Status, a.Header, a.body = r.StatusCode, r.Header, r.Body
-	a.Unframed = r.ContentLength < 0 && len(r.TransferEncoding) == 0
-	if !afterStray && !r.Close && !a.Unframed {
+	a.EndsAtClose = r.ContentLength < 0 && len(r.TransferEncoding) == 0
+	if !afterStray && !r.Close && !a.EndsAtClose {
 		a.maxIdle = keepAliveTimeout(r.Header)
 	}
 	r.Header.Del("Connection")
@@ -208,7 +208,7 @@
 
 // Read reads the body. It returns io.EOF only at the body's proper end; a truncated body ends
 // with another error.
-func (a *Answer) Read(b []byte) (int, error) {
+func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	if err == io.EOF {
 		a.ended = true
@@ -217,14 +217,14 @@
 }
 
 // ReadAll reads the body, at most maxBody bytes of it.
-func (a *Answer) ReadAll() ([]byte, error) {
+func (a *Response) ReadAll() ([]byte, error) {
 	return io.ReadAll(io.LimitReader(a, maxBody))
 }
 
 // Close ends the call. It returns the connection to the pool if the request and response are
 // complete and the connection may be reused; otherwise it closes the connection, which tells
 // the endpoint to stop its work. Further calls do nothing.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if a.stop == nil {
 		return
 	}
@@ -238,7 +238,7 @@
 	a.pool.put(a.address, a.conn, a.maxIdle)
 }
 
-func (a *Answer) wrote() bool {
+func (a *Response) wrote() bool {
 	select {
 	case <-a.written:
 		return true
--- a/adapter/upstream/pool.go
+++ b/adapter/upstream/pool.go
@@ -27,8 +27,8 @@
 
 // Pool keeps idle connections to endpoints. The zero Pool is ready to use.
 type Pool struct {
-	// Opened, if set, is called for each new connection.
-	Opened func()
+	// OnDial, if set, is called for each new connection.
+	OnDial func()
 
 	mu   sync.Mutex
 	idle map[string][]*conn
@@ -62,8 +62,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if p.Opened != nil {
-		p.Opened()
+	if p.OnDial != nil {
+		p.OnDial()
 	}
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
@@ -137,8 +137,8 @@
 	}
 }
 
-// Drop closes the idle connections to the address of an endpoint that has gone.
-func (p *Pool) Drop(address string) {
+// CloseIdle closes the idle connections to the address of an endpoint that has gone.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[address] {
--- a/adapter/upstream/pool_test.go
+++ b/adapter/upstream/pool_test.go
@@ -71,8 +71,8 @@
 func call(address string) upstream.Call {
 	return upstream.Call{
 		Address: address, Method: "POST", Target: "/a?b=%2f", Host: "h", Header: http.Header{"X": {"1"}},
-		Body: []byte("body"), HasBody: true, Rest: time.Minute,
-		Mine: func(h http.Header) bool { return h.Get("Id") == "mine" },
+		Body: []byte("body"), HasBody: true, MaxIdle: time.Minute,
+		Matches: func(h http.Header) bool { return h.Get("Id") == "mine" },
 	}
 }
 
--- a/adapter/upstream/quiet.go
+++ b/adapter/upstream/quiet.go
@@ -8,6 +8,6 @@
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	pending, err := peek.Pending(c.Conn)
+	pending, err := peek.HasUnread(c.Conn)
 	return err == nil && !pending
 }
--- a/cmd/grademill-gateway/daemon.go
+++ b/cmd/grademill-gateway/daemon.go
@@ -81,7 +81,7 @@
 // openLog sets up the log: JSON lines on standard output, through a buffer that
 // drops lines rather than block.
 func (d *daemon) openLog() {
-	dropped := func(n int) { d.metrics.Dropped(n) }
+	dropped := func(n int) { d.metrics.DroppedLogLines(n) }
 	out := diode.NewWriter(os.Stdout, logLines, 0, dropped)
 	d.flush = func() { _ = out.Close() }
 	level, err := zerolog.ParseLevel(d.file.LogLevel)
@@ -156,12 +156,12 @@
 	limit := d.file.Gateway.StopTimeout.Or(defaultStopTimeout) - stopMargin
 	d.log.Info().Int("running", d.gateway.Running()).Msg("gateway stopping")
 	d.gateway.Drain()
-	callers.Retire()
+	callers.CloseAfterResponses()
 	time.Sleep(min(lingerWait, limit))
 	callers.Stop()
 	for {
 		late := time.Since(start) >= limit
-		if (late || callers.Quiet()) && d.gateway.Close(late) {
+		if (late || callers.Idle()) && d.gateway.Close(late) {
 			break
 		}
 		time.Sleep(stopPoll)
@@ -179,7 +179,7 @@
 // callerLimits returns the configured limits on callers' connections.
 func (d *daemon) callerLimits() ingress.Limits {
 	l := d.gateway.CallerLimits()
-	return ingress.Limits{Idle: l.IdleTimeout, HeadBytes: l.MaxHeaderBytes, HeadWait: l.HeaderTimeout}
+	return ingress.Limits{IdleTimeout: l.IdleTimeout, MaxHeaderBytes: l.MaxHeaderBytes, HeaderTimeout: l.HeaderTimeout}
 }
 
 // errorLog forwards the error lines of an HTTP server to the process log.
--- a/cmd/grademill/roles.go
+++ b/cmd/grademill/roles.go
@@ -115,7 +115,7 @@
 	log := newLog(file.LogLevel, file.Name)
 	metrics := meter.NewEntry()
 	metrics.Registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	platform := &platformhttp.Client{Base: s.Platform, Counted: metrics.PlatformCall}
+	platform := &platformhttp.Client{Base: s.Platform, OnCall: metrics.PlatformCall}
 	e := &entry.Entry{
 		Name: file.Name, Hall: file.Hall, Address: file.Address, Peers: s.Peers,
 		Store: platform, Hosts: platform, Links: linkLatencies(s.Links),
--- a/role/agent/agent.go
+++ b/role/agent/agent.go
@@ -128,7 +128,7 @@
 	a.introduced = make(map[string]*wire.Introduction)
 	a.failures = make(map[string]failure)
 	a.waiters = make(map[once.Key]chan struct{})
-	a.links = &link.Set{Name: a.Name, Incarnation: a.incarnation, Down: a.peerDown, Log: a.Log}
+	a.links = &link.Set{Name: a.Name, Incarnation: a.incarnation, OnDisconnect: a.peerDown, Log: a.Log}
 	if a.Engine == nil {
 		return nil
 	}
@@ -149,7 +149,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	server := &listen.Server{Address: a.Address, Batch: a.handleFrame, Calls: a.methods(), Log: a.Log}
+	server := &listen.Server{Address: a.Address, OnBatch: a.handleFrame, Methods: a.methods(), Log: a.Log}
 	if err := server.Listen(); err != nil {
 		return err
 	}
--- a/role/entry/entry.go
+++ b/role/entry/entry.go
@@ -146,7 +146,7 @@
 	e.teamLoad = make(map[string]int)
 	e.calls = make(map[string]map[uuid.UUID]context.CancelFunc)
 	e.flights = make(map[[requestBytes]byte]*flight)
-	e.links = &link.Set{Name: e.Name, Incarnation: e.incarnation, Down: e.peerDown, Log: e.Log}
+	e.links = &link.Set{Name: e.Name, Incarnation: e.incarnation, OnDisconnect: e.peerDown, Log: e.Log}
 	if e.Meter == nil {
 		e.Meter = meter.NewEntry()
 	}
@@ -159,7 +159,7 @@
 func (e *Entry) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	server := &listen.Server{Address: e.Address, Batch: e.handleFrame, Calls: e.methods(), Log: e.Log}
+	server := &listen.Server{Address: e.Address, OnBatch: e.handleFrame, Methods: e.methods(), Log: e.Log}
 	if err := server.Listen(); err != nil {
 		return err
 	}
--- a/role/entry/fleet.go
+++ b/role/entry/fleet.go
@@ -52,7 +52,7 @@
 		update.Entries = entries
 	}
 	if len(update.GetEntries()) > 0 || update.GetTerm() > beat.GetTerm() {
-		e.links.News(to.Address, update)
+		e.links.Update(to.Address, update)
 	}
 }
 
--- a/role/gateway/gateway.go
+++ b/role/gateway/gateway.go
@@ -169,12 +169,12 @@
 	g.initMembership()
 	g.initPartition()
 	g.peers.Counter = g.counter
-	g.probes.Control, g.probes.Silence, g.probes.Reference = g.Runners, g.Silence, g.reference
+	g.probes.Control, g.probes.AwaitAnswer, g.probes.Reference = g.Runners, g.Silence, g.reference
 	g.initGossip()
 	g.initThrottling()
 	g.initQuarantine()
 	g.initFeed()
-	g.pool.Opened = g.Meter.Connection
+	g.pool.OnDial = g.Meter.Connection
 	var group sync.WaitGroup
 	group.Go(func() { g.follow(ctx) })
 	group.Go(func() { g.serveChanges(ctx) })
--- a/role/gateway/leave_test.go
+++ b/role/gateway/leave_test.go
@@ -217,7 +217,7 @@
 	served := make(chan struct{})
 	late := func(rw http.ResponseWriter, r *http.Request) {
 		defer close(served)
-		w.eventually(func() bool { return ingress.Left(r.Context()) })
+		w.eventually(func() bool { return ingress.CallerDisconnected(r.Context()) })
 		w.gateway.ServeHTTP(rw, r.WithContext(context.WithoutCancel(r.Context()))) // as if it had not been read
 	}
 	server := &ingress.Server{
--- a/role/gateway/loss_test.go
+++ b/role/gateway/loss_test.go
@@ -263,9 +263,9 @@
 	w := newFixtureWith(t, func(g *gateway.Gateway) {
 		g.Silence = func(answered <-chan struct{}) error {
 			if starved.Load() {
-				return probe.ErrHeldUp
+				return probe.ErrUncertain
 			}
-			return probe.Silence(answered)
+			return probe.AwaitAnswer(answered)
 		}
 	}, cards...)
 	w.eventually(func() bool { return covered(cards, 1) })
@@ -313,9 +313,9 @@
 		g.Runners = u
 		g.Silence = func(answered <-chan struct{}) error {
 			if u.on.Load() {
-				return probe.ErrHeldUp
+				return probe.ErrUncertain
 			}
-			return probe.Silence(answered)
+			return probe.AwaitAnswer(answered)
 		}
 	}, cards...)
 	w.eventually(func() bool { return covered(cards, 1) })
--- a/role/gateway/members.go
+++ b/role/gateway/members.go
@@ -30,7 +30,7 @@
 // removeUsage removes the usage of an endpoint and the connections to it, and returns it as a
 // backend; nil when it was not used.
 func (g *Gateway) removeUsage(r roster.Record) *backend {
-	g.pool.Drop(r.Address)
+	g.pool.CloseIdle(r.Address)
 	g.probes.Forget(r.Address)
 	g.members.mu.Lock()
 	defer g.members.mu.Unlock()
--- a/role/gateway/quarantine.go
+++ b/role/gateway/quarantine.go
@@ -69,7 +69,7 @@
 // quarantine; shortageNone when neither is the case.
 func (g *Gateway) withheld(q *query) shortage {
 	switch {
-	case ingress.Left(q.r.Context()):
+	case ingress.CallerDisconnected(q.r.Context()):
 		q.callerGone = true
 		return shortageCaller
 	case !g.maySend(q):
--- a/role/gateway/suspect.go
+++ b/role/gateway/suspect.go
@@ -172,10 +172,10 @@
 		return true
 	}
 	begun := time.Now()
-	report, err := g.probes.AskSince(context.Background(), b.Address, since)
+	report, err := g.probes.ReportSince(context.Background(), b.Address, since)
 	now := time.Now()
 	switch {
-	case errors.Is(err, probe.ErrHeldUp):
+	case errors.Is(err, probe.ErrUncertain):
 		g.Meter.Check(checkStarved)
 		return false
 	case silent(err):
@@ -248,7 +248,7 @@
 // checkPlain records whether the host of an endpoint of a plain service refuses connections to it.
 // Its health check would wait for a slot, as requests do.
 func (g *Gateway) checkPlain(b *backend) {
-	ended := probe.Refuses(context.Background(), b.Address)
+	ended := probe.ConnectionRefused(context.Background(), b.Address)
 	if ended {
 		g.Meter.Check(checkSilent)
 	} else {
@@ -361,8 +361,8 @@
 
 // recheck asks an endpoint that is down for its report, and uses it again when it gives one.
 func (g *Gateway) recheck(ctx context.Context, b *backend) {
-	report, err := g.probes.Ask(ctx, b.Address)
-	if errors.Is(err, probe.ErrHeldUp) {
+	report, err := g.probes.Report(ctx, b.Address)
+	if errors.Is(err, probe.ErrUncertain) {
 		g.Meter.Check(checkStarved)
 		return
 	}
--- a/role/gateway/try.go
+++ b/role/gateway/try.go
@@ -28,7 +28,7 @@
 
 // attempt is one send of a request.
 type attempt struct {
-	answer *upstream.Answer
+	answer *upstream.Response
 	reply  exchange.ReplyHeaders
 	verdict
 	// err is the reason why there is no proper answer.
@@ -55,14 +55,14 @@
 	})
 	call := upstream.Call{
 		Address: b.Address, Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host, Header: header,
-		Body: q.body, HasBody: q.hasBody, Rest: maxConnIdle, Wrote: func() { q.reached.Store(true) },
-		Mine: func(h http.Header) bool {
+		Body: q.body, HasBody: q.hasBody, MaxIdle: maxConnIdle, BeforeWrite: func() { q.reached.Store(true) },
+		Matches: func(h http.Header) bool {
 			id := g.Dialect.AnswerHeaders(0, h).ID
 			return id == q.ID || id == "" // a refusal need not carry the request ID
 		},
 	}
 	if !q.route.Repeats() {
-		call.Rest = maxConnIdleNonRepeatable
+		call.MaxIdle = maxConnIdleNonRepeatable
 	}
 	answer, err := g.pool.Do(ctx, call)
 	if err != nil {
