--- a/cmd/grademill-gateway/daemon.go
+++ b/cmd/grademill-gateway/daemon.go
@@ -65,7 +65,7 @@
 	d.gateway = &gateway.Gateway{
 		Name: file.Name, Hall: file.Hall, Address: file.Address,
 		Store: platform.NewStore(s.Store, d.metrics.StoreCall),
-		Records: gateway.Records{
+		Records: gateway.Decoders{
 			Catalog: platform.ConfigKey, DecodeCatalog: platform.DecodeCatalog,
 			EndpointID: platform.EndpointID, DecodeEndpoint: platform.DecodeEndpoint,
 		},
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -224,7 +224,7 @@
 		Name: h.Name, Hall: h.Hall, Address: address, Peers: peers, Store: l.Store, Hosts: l.Store,
 		Links: linkLatency, MaxQueue: orDefault(l.MaxQueue, defaultQueue), MaxDeadline: time.Minute,
 		MinStall: 100 * time.Millisecond, MaxStall: 5 * time.Second, RecoverWait: 3 * time.Second,
-		Expiry: 3 * time.Second, Sync: 200 * time.Millisecond, ListEvery: time.Second, Watchers: 2,
+		Expiry: 3 * time.Second, SyncInterval: 200 * time.Millisecond, HostListInterval: time.Second, Watchers: 2,
 		Retries:   retry.Budget{Share: 0.1, Window: time.Minute, Reserve: 20},
 		ClaimKeep: time.Hour, OrderLease: 3 * time.Second, DrainTimeout: 30 * time.Second,
 		Log: l.Log.With().Str("process", h.Name).Logger(),
--- a/role/admission/line.go
+++ b/role/admission/line.go
@@ -46,9 +46,9 @@
 // Order returns the urgency of a request under a load. The default is [urgency.Load.Of].
 type Order func(l urgency.Load, begun, returned bool) urgency.Urgency
 
-// Line is a queue of requests that wait for a grant of type G, such as a chain. The zero Line is
+// Queue is a queue of requests that wait for a grant of type G, such as a chain. The zero Queue is
 // ready to use. It checks for room only while Run runs. It is safe for concurrent use.
-type Line[G any] struct {
+type Queue[G any] struct {
 	// Order ranks requests of equal priority; nil means [urgency.Load.Of].
 	Order Order
 	// Times holds the learned durations of streams.
@@ -70,7 +70,7 @@
 }
 
 // ready initializes the gate on the first call and returns it.
-func (l *Line[G]) ready() *gate.Gate[G] {
+func (l *Queue[G]) ready() *gate.Gate[G] {
 	l.once.Do(func() {
 		l.gate.MaxQueue = maxQueue
 		l.wake = make(chan struct{}, 1)
@@ -79,7 +79,7 @@
 }
 
 // Arrive records a new request and reports whether it is a retry of a refused one.
-func (l *Line[G]) Arrive(r Request) bool {
+func (l *Queue[G]) Arrive(r Request) bool {
 	share := r.share()
 	returned := l.firstTimeouts.Get(r.Service).IsReturning(share)
 	if returned {
@@ -91,38 +91,38 @@
 	return returned
 }
 
-func (l *Line[G]) urgency(r Request, now time.Time) urgency.Urgency {
+func (l *Queue[G]) urgency(r Request, now time.Time) urgency.Urgency {
 	load := urgency.Load{
 		Admitted: l.ready().Admitted(r.Service), Returning: l.retryRates.Get(r.Service).PerSecond(now),
 	}
 	if l.Order != nil {
-		return l.Order(load, r.Begun, r.Returned)
+		return l.Order(load, r.Begun, r.Retried)
 	}
-	return load.Of(r.Begun, r.Returned)
+	return load.Of(r.Begun, r.Retried)
 }
 
-// Turn is the urgency and the time limit with which a request waits.
-type Turn struct {
+// Terms is the urgency and the time limit with which a request waits.
+type Terms struct {
 	// Urgency is the urgency of the request on entering the queue.
 	Urgency urgency.Urgency
 	// Until is when the wait ends.
 	Until time.Time
 }
 
-// Turn returns the urgency and the time limit of a request that enters the queue at now. A new
+// Terms returns the urgency and the time limit of a request that enters the queue at now. A new
 // request waits only while its first event can still meet the objective, since its caller can
 // retry. Any other request waits for as long as a caller bears to wait for the first event.
-func (l *Line[G]) Turn(r Request, now time.Time) Turn {
+func (l *Queue[G]) Terms(r Request, now time.Time) Terms {
 	firstEvent := l.Times.ExpectedFirst(r.Service)
 	if urgent := l.urgency(r, now); urgent != urgency.New {
-		return Turn{Urgency: urgent, Until: now.Add(lateWaitObjectives*r.Objective - firstEvent)}
+		return Terms{Urgency: urgent, Until: now.Add(lateWaitObjectives*r.Objective - firstEvent)}
 	}
-	return Turn{Urgency: urgency.New, Until: r.Start.Add(r.Objective - firstEvent)}
+	return Terms{Urgency: urgency.New, Until: r.Start.Add(r.Objective - firstEvent)}
 }
 
 // Enter waits until try returns a grant. It refuses the request at once if the expected wait
 // exceeds the time limit of turn, or if try answers [gate.Never].
-func (l *Line[G]) Enter(ctx context.Context, r Request, turn Turn, try func() (G, gate.Answer)) (G, *outcome.Report) {
+func (l *Queue[G]) Enter(ctx context.Context, r Request, turn Terms, try func() (G, gate.Answer)) (G, *outcome.Report) {
 	ctx, cancel := context.WithDeadline(ctx, turn.Until)
 	defer cancel()
 	return l.ready().Enter(ctx, gate.Ticket[G]{
@@ -139,7 +139,7 @@
 }
 
 // wakeRun makes Run check for room soon.
-func (l *Line[G]) wakeRun() {
+func (l *Queue[G]) wakeRun() {
 	select {
 	case l.wake <- struct{}{}:
 	default: // Run is woken already
@@ -147,12 +147,12 @@
 }
 
 // Waiting returns the number of queued requests.
-func (l *Line[G]) Waiting() int {
+func (l *Queue[G]) Waiting() int {
 	return l.ready().Waiting()
 }
 
 // Run admits queued requests as room becomes free, until ctx ends.
-func (l *Line[G]) Run(ctx context.Context) {
+func (l *Queue[G]) Run(ctx context.Context) {
 	g := l.ready()
 	for {
 		select {
@@ -162,14 +162,14 @@
 		}
 		for ctx.Err() == nil && g.Waiting() > 0 {
 			pause.For(ctx, pollInterval)
-			g.Poke()
+			g.AdmitWaiting()
 		}
 	}
 }
 
-// ComeBack returns the Retry-After delay for a request that is refused at now, and the rate of
+// RetryAfter returns the Retry-After delay for a request that is refused at now, and the rate of
 // admissions in requests per second from which the delay was computed.
-func (l *Line[G]) ComeBack(r Request, now time.Time) (time.Duration, float64) {
+func (l *Queue[G]) RetryAfter(r Request, now time.Time) (time.Duration, float64) {
 	l.refusedAt.Store(now.UnixNano())
 	load := comeback.Load{Admitted: l.ready().Admitted(r.Service), RequestDuration: l.Times.Duration(r.Service)}
 	maxDelay := time.Duration(maxRetryAfterShare * float64(r.Deadline.Sub(now)))
--- a/role/admission/line_test.go
+++ b/role/admission/line_test.go
@@ -30,7 +30,7 @@
 
 // simulation simulates one load on a virtual clock.
 type simulation struct {
-	line   admission.Line[struct{}]
+	line   admission.Queue[struct{}]
 	random *rand.Rand
 
 	mu   sync.Mutex // guards the fields below
@@ -65,12 +65,12 @@
 func (p *simulation) attempt(ctx context.Context, began time.Time) (bool, time.Duration) {
 	now := time.Now()
 	r := admission.Request{
-		Service: "assistant", Route: routeTimeout, Patience: routeTimeout - now.Sub(began), Objective: objective,
+		Service: "assistant", RouteTimeout: routeTimeout, CallerTimeout: routeTimeout - now.Sub(began), Objective: objective,
 		Start: now, Deadline: began.Add(routeTimeout),
 	}
-	r.Returned = p.line.Arrive(r)
-	if _, report := p.line.Enter(ctx, r, p.line.Turn(r, now), p.try); report != nil {
-		wait, _ := p.line.ComeBack(r, time.Now())
+	r.Retried = p.line.Arrive(r)
+	if _, report := p.line.Enter(ctx, r, p.line.Terms(r, now), p.try); report != nil {
+		wait, _ := p.line.RetryAfter(r, time.Now())
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.refusals++
--- a/role/admission/request.go
+++ b/role/admission/request.go
@@ -7,22 +7,22 @@
 	Service, Team string
 	// Priority starts at 0, the least urgent.
 	Priority int
-	// Route is the timeout of the route. Patience is the timeout that the caller has set, 0 for
+	// RouteTimeout is the timeout of the route. CallerTimeout is the timeout that the caller has set, 0 for
 	// none.
-	Route, Patience time.Duration
+	RouteTimeout, CallerTimeout time.Duration
 	// Objective is the target for the time to the first event.
 	Objective time.Duration
 	// Start is when the request arrived. After Deadline its answer is of no use to the caller.
 	Start, Deadline time.Time
-	// Returned is set for a retry, as reported by [Line.Arrive]. Begun is set once an endpoint may
+	// Retried is set for a retry, as reported by [Line.Arrive]. Begun is set once an endpoint may
 	// have received the request.
-	Returned, Begun bool
+	Retried, Begun bool
 }
 
 // share returns the caller's timeout as a share of the route's, 1 if the caller has set none.
 func (r Request) share() float64 {
-	if r.Patience <= 0 || r.Route <= 0 {
+	if r.CallerTimeout <= 0 || r.RouteTimeout <= 0 {
 		return 1
 	}
-	return min(float64(r.Patience)/float64(r.Route), 1)
+	return min(float64(r.CallerTimeout)/float64(r.RouteTimeout), 1)
 }
--- a/role/announcer/announcer.go
+++ b/role/announcer/announcer.go
@@ -183,9 +183,9 @@
 	return true
 }
 
-// Gone handles the removal of a key at a revision, and reports whether it was the announcement of a
+// Removed handles the removal of a key at a revision, and reports whether it was the announcement of a
 // gateway.
-func (a *Announcer) Gone(key string, revision uint64) bool {
+func (a *Announcer) Removed(key string, revision uint64) bool {
 	if !strings.HasPrefix(key, prefix) {
 		return false
 	}
--- a/role/announcer/announcer_test.go
+++ b/role/announcer/announcer_test.go
@@ -79,7 +79,7 @@
 	s.revision++
 	delete(s.pairs, key)
 	for _, a := range s.watchers {
-		a.Gone(key, s.revision)
+		a.Removed(key, s.revision)
 	}
 }
 
--- a/role/entry/call.go
+++ b/role/entry/call.go
@@ -109,7 +109,7 @@
 	}
 	leave := func() {
 		s.release()
-		c.entry.gate.Poke()
+		c.entry.gate.AdmitWaiting()
 	}
 	at := s.stages[0].Endpoint
 	at.Epoch = s.stages[0].Usage.Epoch.Load()
--- a/role/entry/entry.go
+++ b/role/entry/entry.go
@@ -63,10 +63,10 @@
 	RecoverWait time.Duration
 	// Expiry is how long an endpoint stays in use without a heartbeat.
 	Expiry time.Duration
-	// Sync is the mean interval between requests to peers for changes.
-	Sync time.Duration
-	// ListEvery is the mean interval between reads of the list of hosts.
-	ListEvery time.Duration
+	// SyncInterval is the mean interval between requests to peers for changes.
+	SyncInterval time.Duration
+	// HostListInterval is the mean interval between reads of the list of hosts.
+	HostListInterval time.Duration
 	// Watchers is the number of entries per hall that watch the platform for changes.
 	Watchers int
 	// Retries bounds retries. Its unexported state belongs to the entry.
--- a/role/entry/fleet.go
+++ b/role/entry/fleet.go
@@ -81,7 +81,7 @@
 	e.snapshot.Store(snapshot)
 	e.mu.Unlock()
 	e.Meter.Endpoints(len(snapshot.All))
-	e.gate.Poke()
+	e.gate.AdmitWaiting()
 }
 
 // recordLoads handles the load reports that came with an answer.
@@ -142,7 +142,7 @@
 			e.rebuild()
 		case now := <-ticker.C:
 			e.expire(now)
-			e.gate.Poke()
+			e.gate.AdmitWaiting()
 		}
 	}
 }
--- a/role/entry/flight.go
+++ b/role/entry/flight.go
@@ -136,7 +136,7 @@
 	}
 	f.reservation.release()
 	f.reservation = nil
-	f.entry.gate.Poke()
+	f.entry.gate.AdmitWaiting()
 }
 
 // dispatch sends the first step of the current attempt: the prompt and all tokens received so far,
--- a/role/entry/follow.go
+++ b/role/entry/follow.go
@@ -35,7 +35,7 @@
 		for _, address := range e.syncTargets() {
 			e.syncWith(ctx, address)
 		}
-		pause := e.Sync/2 + rand.N(e.Sync)
+		pause := e.SyncInterval/2 + rand.N(e.SyncInterval)
 		select {
 		case <-ctx.Done():
 			return
@@ -73,7 +73,7 @@
 
 // syncWith requests changes from one peer.
 func (e *Entry) syncWith(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, e.Sync+time.Second)
+	ctx, cancel := context.WithTimeout(ctx, e.SyncInterval+time.Second)
 	defer cancel()
 	reply := new(wire.SyncReply)
 	e.mu.Lock()
@@ -121,7 +121,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(e.Sync):
+		case <-time.After(e.SyncInterval):
 		}
 	}
 }
@@ -132,7 +132,7 @@
 	defer cancel()
 	go func() {
 		for ctx.Err() == nil && e.isWatcher() {
-			time.Sleep(e.Sync)
+			time.Sleep(e.SyncInterval)
 		}
 		cancel()
 	}()
@@ -154,7 +154,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(e.ListEvery/2 + rand.N(e.ListEvery)):
+		case <-time.After(e.HostListInterval/2 + rand.N(e.HostListInterval)):
 		}
 	}
 }
--- a/role/gate/gate.go
+++ b/role/gate/gate.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// Poke admits the queued requests for which there is room, in all lanes.
-func (g *Gate[G]) Poke() {
+// AdmitWaiting admits the queued requests for which there is room, in all lanes.
+func (g *Gate[G]) AdmitWaiting() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, l := range g.lanes {
--- a/role/gate/gate_test.go
+++ b/role/gate/gate_test.go
@@ -37,7 +37,7 @@
 	r.mu.Lock()
 	r.free++
 	r.mu.Unlock()
-	g.Poke()
+	g.AdmitWaiting()
 }
 
 func (r *slots) ticket(team string) gate.Ticket[int] {
--- a/role/gateway/admission.go
+++ b/role/gateway/admission.go
@@ -13,14 +13,14 @@
 func (q *query) waiting() admission.Request {
 	return admission.Request{
 		Service: q.service.Name, Team: q.team, Priority: maxPriority - q.priority,
-		Route: q.route.Timeout, Patience: q.Timeout, Objective: objective(q.route),
-		Start: q.start, Deadline: q.deadline, Returned: q.returned, Begun: q.everReached.Load(),
+		RouteTimeout: q.route.Timeout, CallerTimeout: q.Timeout, Objective: objective(q.route),
+		Start: q.start, Deadline: q.deadline, Retried: q.returned, Begun: q.everReached.Load(),
 	}
 }
 
 // reserveQueued waits in the queue for a reservation. A request that would have to wait for longer
 // than it may is refused at once, and so is a new one when no chain holds all layers.
-func (g *Gateway) reserveQueued(q *query, terms admission.Turn) (*reservation, shortage) {
+func (g *Gateway) reserveQueued(q *query, terms admission.Terms) (*reservation, shortage) {
 	r := q.waiting()
 	if !r.Begun {
 		q.ahead = g.queue.Waiting()
@@ -51,8 +51,8 @@
 
 // terms returns how the request waits for a reservation at now: one whose caller already has
 // events waits for as long as the caller accepts a pause.
-func (s *relay) terms(now time.Time) admission.Turn {
-	terms := s.g.queue.Turn(s.q.waiting(), now)
+func (s *relay) terms(now time.Time) admission.Terms {
+	terms := s.g.queue.Terms(s.q.waiting(), now)
 	if s.headSent {
 		terms.Until = s.lastAt.Add(pauseWaitFactor * allowedPause(s.q.route))
 	}
--- a/role/gateway/digest.go
+++ b/role/gateway/digest.go
@@ -21,15 +21,15 @@
 		ProofAgeMillis: uint32(max(g.proofAge().Milliseconds(), 0)),
 		Leading:        g.leading.Load(),
 		Cut:            g.feed.StoreFailedRecently(now),
-		Suspects:       g.quarantine.Told(now),
+		Suspects:       g.quarantine.Reports(now),
 	}
 	if others == nil { // a hall's digest does not repeat what its gateways say themselves
-		g.partition.Tell(d)
+		g.partition.AddToDigest(d)
 	}
 	if others != nil && now.UnixNano()-g.leaderDirectAt.Load() < int64(reportFresh) {
 		d.Leading = true // the leader is in this hall
 	}
-	g.membership.Tell(d, now)
+	g.membership.AddToDigest(d, now)
 	for id, b := range g.fleet.Load().byID {
 		if b.use.unused(now) && (others == nil || others[id] == peers.Usage{}) {
 			continue // the case of most endpoints of a large fleet
@@ -45,7 +45,7 @@
 		if d.GetLeading() {
 			b.use.addOrder(use, now)
 		}
-		g.throttling.Tell(use, &b.use.intake, others[id], others != nil, now)
+		g.throttling.AddToUse(use, &b.use.intake, others[id], others != nil, now)
 		if isEmptyUse(use) {
 			continue
 		}
@@ -100,11 +100,11 @@
 	use.OrderedFirst, use.OrderedEnd = uint32(order.First), uint32(order.End)
 }
 
-// Heard handles a digest of another gateway, or of another hall.
-func (g *Gateway) Heard(d *gossip.Digest, now time.Time) {
-	g.membership.Hear(d, now)
+// HandleDigest handles a digest of another gateway, or of another hall.
+func (g *Gateway) HandleDigest(d *gossip.Digest, now time.Time) {
+	g.membership.HearDigest(d, now)
 	f := g.fleet.Load()
-	g.quarantine.Adopt(d.GetSuspects(), d.GetGateway(), now)
+	g.quarantine.HearReports(d.GetSuspects(), d.GetGateway(), now)
 	if d.GetMembers() == 0 {
 		g.partition.Hear(d.GetGateway(), d.GetOutage(), now)
 	}
@@ -128,7 +128,7 @@
 				b.noteLayers(layer.Range{First: int(use.GetHeldFirst()), End: int(use.GetHeldEnd())}, at)
 			}
 		}
-		g.throttling.HearOthers(b.ID, &b.use.intake, use, d.GetMembers() > 0, now)
+		g.throttling.HearReport(b.ID, &b.use.intake, use, d.GetMembers() > 0, now)
 		if use.GetAvoidedMillis() > 0 {
 			g.handleStallReport(b, now, time.Duration(use.GetAvoidedMillis())*time.Millisecond)
 		}
@@ -138,16 +138,16 @@
 	}
 }
 
-// Lost handles the report that an endpoint does not answer another gateway.
-func (g *Gateway) Lost(l *gossip.Loss, now time.Time) {
+// HandleLoss handles the report that an endpoint does not answer another gateway.
+func (g *Gateway) HandleLoss(l *gossip.Loss, now time.Time) {
 	if b := g.fleet.Load().byID[l.GetEndpoint()]; b != nil {
 		g.handleDownReport(b, l.GetGateway(), now)
 	}
 }
 
-// Ended handles a report by another gateway on endpoints that have ended under requests.
-func (g *Gateway) Ended(e *gossip.Ends, now time.Time) {
-	g.quarantine.Hear(e, now)
+// HandleEnds handles a report by another gateway on endpoints that have ended under requests.
+func (g *Gateway) HandleEnds(e *gossip.Ends, now time.Time) {
+	g.quarantine.HearEnds(e, now)
 }
 
 // handleDownReport handles a report by another gateway that an endpoint is down. The other gateway
@@ -221,7 +221,7 @@
 // the others, and advances the quarantine.
 func (g *Gateway) Tick(now time.Time) {
 	for id, b := range g.fleet.Load().byID {
-		g.throttling.Divide(id, &b.use.intake, now)
+		g.throttling.UpdateShare(id, &b.use.intake, now)
 	}
 	g.partition.Tick(now)
 	g.quarantine.Tick(now)
--- a/role/gateway/follow.go
+++ b/role/gateway/follow.go
@@ -33,7 +33,7 @@
 		Log: g.Log,
 		StoreFailed: func(err error) {
 			g.failing.Store(true)
-			g.gossip.News() // so that the others check whether they have lost it too
+			g.gossip.SendSoon() // so that the others check whether they have lost it too
 			g.Log.Warn().Err(err).Dur("proof_age_ms", g.proofAge()).Msg("the store does not answer")
 		},
 	}
@@ -63,7 +63,7 @@
 		g.Log.Info().Msg("nobody gives orders")
 		return
 	}
-	if g.announcer.Gone(key, revision) || g.quarantine.Gone(key, time.Now()) {
+	if g.announcer.Removed(key, revision) || g.quarantine.Gone(key, time.Now()) {
 		return
 	}
 	g.membership.Gone(key, revision)
@@ -117,14 +117,14 @@
 // confirm records that everything written to the store up to the given time is known.
 func (g *Gateway) confirm(sent time.Time) {
 	g.rebuild()
-	g.Meter.Store(g.cache.At())
+	g.Meter.StoreRevision(g.cache.At())
 	g.read.Store(true)
 	if g.failing.Swap(false) || !g.loaded.Load() {
 		g.currentSince.Store(time.Now().UnixNano())
 	}
 	g.proof.Store(max(g.proof.Load(), sent.UnixNano()))
-	if g.partition.Asked() {
-		g.gossip.News() // gateways that have lost the store wait for a proof from after that
+	if g.partition.PeersAsking() {
+		g.gossip.SendSoon() // gateways that have lost the store wait for a proof from after that
 	}
 	if !g.loaded.Swap(true) {
 		open, left := g.membership.Roster.Size()
--- a/role/gateway/gateway.go
+++ b/role/gateway/gateway.go
@@ -37,8 +37,8 @@
 	"github.com/grademill/grademill/state/watchcache"
 )
 
-// Records decodes the entries that other components write to the store.
-type Records struct {
+// Decoders decodes the entries that other components write to the store.
+type Decoders struct {
 	// Catalog is the key of the configuration.
 	Catalog string
 	// DecodeCatalog decodes the configuration.
@@ -77,7 +77,7 @@
 	// Store holds the configuration, the records of endpoints and the state on which gateways must
 	// agree. Records decodes the entries that others write there.
 	Store   Store
-	Records Records
+	Records Decoders
 	// Dialect translates headers, Runners gives orders to endpoints.
 	Dialect exchange.Dialect
 	Runners runner.Control
@@ -143,7 +143,7 @@
 	// of Unix time.
 	currentSince atomic.Int64
 	// queue is where requests of models wait for room.
-	queue admission.Line[*reservation]
+	queue admission.Queue[*reservation]
 
 	// retries is this gateway's share of the retry budget.
 	retries budgets.Budgets
@@ -203,7 +203,7 @@
 		Ready: &g.read, Ending: &g.draining, Log: g.Log,
 	}
 	g.gossip = gossip.Gossip{
-		Self: self, Incarnation: uint64(g.started.UnixNano()), Local: g, Peers: &g.peers, LinkRate: g.LinkRate, FlatUpTo: g.FlatFleet,
+		Self: self, Incarnation: uint64(g.started.UnixNano()), Local: g, Peers: &g.peers, LinkRate: g.LinkRate, FlatFleetSize: g.FlatFleet,
 		Sent: g.Meter.Digest, Log: g.Log,
 	}
 	g.gossip.Init()
--- a/role/gateway/handler.go
+++ b/role/gateway/handler.go
@@ -107,7 +107,7 @@
 	g.retries.CountFirstAttempt(q.service.Name, time.Now())
 	// A request under which three endpoints have ended would crash every endpoint that runs it: in
 	// a fleet of 33, such requests ended endpoints 57 times in 90 s.
-	if left := g.quarantine.Left(q.print, q.start); left > 0 {
+	if left := g.quarantine.Remaining(q.print, q.start); left > 0 {
 		g.refuse(q, left, string(shortageQuarantine))
 		return false
 	}
@@ -209,8 +209,8 @@
 	switch {
 	case q.callerLeft():
 		q.setOutcome(0, outcomeLeft, reason)
-	case !q.mayHaveRun && g.quarantine.Left(q.print, time.Now()) > 0:
-		g.refuse(q, g.quarantine.Left(q.print, time.Now()), reason)
+	case !q.mayHaveRun && g.quarantine.Remaining(q.print, time.Now()) > 0:
+		g.refuse(q, g.quarantine.Remaining(q.print, time.Now()), reason)
 	case !q.mayHaveRun:
 		g.refuse(q, g.retryAfter(q, time.Now()), reason)
 	case q.timeLeft(time.Now()) <= 0:
@@ -224,7 +224,7 @@
 func (g *Gateway) retryAfter(q *query, now time.Time) time.Duration {
 	wait := retryAfterOverload
 	if q.service.Model != nil || q.nextAvailable() != nil { // callers that retried at the same time would be refused at the same time
-		wait, q.admitted = g.queue.ComeBack(q.waiting(), now)
+		wait, q.admitted = g.queue.RetryAfter(q.waiting(), now)
 	}
 	return max(wait, q.availableFrom(now).Sub(now))
 }
--- a/role/gateway/isolation.go
+++ b/role/gateway/isolation.go
@@ -23,7 +23,7 @@
 // suspected reports whether endpoints have ended under a request so often that it is tried isolated
 // from all other such requests.
 func (g *Gateway) suspected(q *query) bool {
-	return g.quarantine.Suspected(q.print, time.Now())
+	return g.quarantine.MustIsolate(q.print, time.Now())
 }
 
 // isolationPlan returns at which endpoints of a service suspects are tried at now.
@@ -57,7 +57,7 @@
 			return shortageQuarantine
 		}
 		now := time.Now()
-		if !g.quarantine.Suspected(q.print, now) {
+		if !g.quarantine.MustIsolate(q.print, now) {
 			return shortageNone
 		}
 		g.quarantine.Arrived(q.print, now)
--- a/role/gateway/leader.go
+++ b/role/gateway/leader.go
@@ -120,7 +120,7 @@
 func (o *leader) hold(ctx context.Context) {
 	o.g.Log.Info().Uint64("fence", o.fence).Msg("this gateway gives orders")
 	o.g.leading.Store(true)
-	o.g.gossip.News()
+	o.g.gossip.SendSoon()
 	defer o.g.leading.Store(false)
 	renewed := time.Now()
 	for ctx.Err() == nil && !o.g.draining.Load() {
@@ -178,7 +178,7 @@
 		f.byID[m.ID].use.setOrdered(m.Layers, now)
 	}
 	if len(moves) > 0 {
-		o.g.gossip.News() // if this process ends now, another leader continues
+		o.g.gossip.SendSoon() // if this process ends now, another leader continues
 	}
 	var group sync.WaitGroup
 	slots := make(chan struct{}, ordersAtOnce)
--- a/role/gateway/members.go
+++ b/role/gateway/members.go
@@ -23,7 +23,7 @@
 	g.members.usage = make(map[string]*usage)
 	g.membership = membership.Membership{
 		ID: g.Records.EndpointID, Decode: g.Records.DecodeEndpoint, Log: g.Log,
-		Dropped: g.dropped, Restarted: g.restarted, Overruled: g.rebuild,
+		OnRemoved: g.dropped, OnRestarted: g.restarted, OnOverruled: g.rebuild,
 	}
 }
 
@@ -61,7 +61,7 @@
 // handleLeaving records that an endpoint has announced that it leaves.
 func (g *Gateway) handleLeaving(endpoint string) {
 	if b := g.fleet.Load().byID[endpoint]; b != nil {
-		g.membership.Leaves(b.Endpoint)
+		g.membership.NoteDeparture(b.Endpoint)
 		g.rebuild()
 	}
 }
@@ -75,7 +75,7 @@
 		return
 	}
 	g.fleet.Store(newFleet(g.backends()))
-	g.Meter.Fleet(g.membership.Roster.Size())
+	g.Meter.Endpoints(g.membership.Roster.Size())
 }
 
 // backends returns the endpoints of the services that the configuration names. Endpoints of other
--- a/role/gateway/partition.go
+++ b/role/gateway/partition.go
@@ -30,7 +30,7 @@
 // retryAfterOutage returns the Retry-After delay of a request that this gateway cannot serve
 // without the store.
 func (g *Gateway) retryAfterOutage(now time.Time) time.Duration {
-	if wait, ok := g.partition.Elsewhere(now); ok {
+	if wait, ok := g.partition.RetryAfter(now); ok {
 		return wait
 	}
 	return retryAfterStore
--- a/role/gateway/plain.go
+++ b/role/gateway/plain.go
@@ -186,7 +186,7 @@
 		g.endedUnder(q, b)
 		return false, "the answer broke off: " + err.Error()
 	}
-	g.quarantine.Survived(q.print, time.Now())
+	g.quarantine.Completed(q.print, time.Now())
 	if t.answer.Status >= http.StatusInternalServerError {
 		b.use.updateHealth(health.Record.WithFailure)
 		if !last && g.timeLeft(q) && g.hasOther(q, b) {
--- a/role/gateway/quarantine.go
+++ b/role/gateway/quarantine.go
@@ -13,7 +13,7 @@
 func (g *Gateway) initQuarantine() {
 	g.quarantine = quarantine.Quarantine{
 		Self: g.Name, Keepers: func(key string) []overlay.Member { return g.gossip.Overlay().Keepers(key) },
-		Tell: g.gossip.TellEnds, News: g.gossip.News, Over: g.incarnationOver, Store: g.Store, Count: g.Meter.Quarantine, Log: g.Log,
+		SendEnds: g.gossip.ReportEnds, SendDigestSoon: g.gossip.SendSoon, HasEnded: g.incarnationOver, Store: g.Store, Count: g.Meter.Quarantine, Log: g.Log,
 	}
 	g.quarantine.Init()
 }
@@ -80,5 +80,5 @@
 
 // maySend reports whether a request may be sent to an endpoint: it is not in quarantine.
 func (g *Gateway) maySend(q *query) bool {
-	return g.quarantine.Left(q.print, time.Now()) == 0
+	return g.quarantine.Remaining(q.print, time.Now()) == 0
 }
--- a/role/gateway/stream.go
+++ b/role/gateway/stream.go
@@ -320,7 +320,7 @@
 	}
 	_ = s.flush.SetWriteDeadline(time.Time{}) // the next answer sets its own
 	s.q.setOutcome(t.answer.Status, outcomeServed, "")
-	s.g.quarantine.Survived(s.q.print, time.Now())
+	s.g.quarantine.Completed(s.q.print, time.Now())
 	s.g.queue.Times.NoteDuration(s.q.service.Name, time.Since(s.sentAt))
 	return ""
 }
--- a/role/gateway/suspect.go
+++ b/role/gateway/suspect.go
@@ -280,9 +280,9 @@
 func (g *Gateway) announceLoss(b *backend) {
 	b.use.watchers.checkSoon()
 	if b.use.down() && b.use.witnesses.Count(time.Now()) < enoughWitnesses {
-		g.gossip.TellLoss(b.ID)
+		g.gossip.ReportLoss(b.ID)
 	}
-	g.gossip.News()
+	g.gossip.SendSoon()
 }
 
 // noteStalls records which endpoints hold requests up.
--- a/role/gossip/gossip.go
+++ b/role/gossip/gossip.go
@@ -61,12 +61,12 @@
 	// Digest returns the gateway's usage without the fields that identify the sender. For the sums
 	// of a hall, others holds the shares of its other gateways, which are added.
 	Digest(now time.Time, others map[string]peers.Usage) *wire.Digest
-	// Heard handles a digest of another gateway whose shares have been counted.
-	Heard(d *wire.Digest, now time.Time)
-	// Lost handles the report that an endpoint does not answer another gateway.
-	Lost(l *wire.Loss, now time.Time)
-	// Ended handles another gateway's report of endpoints that have ended while they ran requests.
-	Ended(e *wire.Ends, now time.Time)
+	// HandleDigest handles a digest of another gateway whose shares have been counted.
+	HandleDigest(d *wire.Digest, now time.Time)
+	// HandleLoss handles the report that an endpoint does not answer another gateway.
+	HandleLoss(l *wire.Loss, now time.Time)
+	// HandleEnds handles another gateway's report of endpoints that have ended while they ran requests.
+	HandleEnds(e *wire.Ends, now time.Time)
 	// Tick is called before each digest.
 	Tick(now time.Time)
 }
@@ -78,9 +78,9 @@
 	Incarnation uint64
 	Local       Local
 	Peers       *peers.Table
-	// FlatUpTo is the largest fleet in which each gateway sends its digest to all others, 0 for
+	// FlatFleetSize is the largest fleet in which each gateway sends its digest to all others, 0 for
 	// [overlay.FlatSize].
-	FlatUpTo int
+	FlatFleetSize int
 	// LinkRate is the bandwidth of the host's link in bytes per second, 0 if unknown. If it is
 	// unknown, digests are not limited.
 	LinkRate float64
@@ -129,8 +129,8 @@
 	}
 }
 
-// News triggers an early digest.
-func (s *Gossip) News() {
+// SendSoon triggers an early digest.
+func (s *Gossip) SendSoon() {
 	select {
 	case s.updates <- struct{}{}:
 	default: // an early digest is pending already
@@ -162,10 +162,10 @@
 // round sends the digests that are due at now, and returns the time until the next round.
 func (s *Gossip) round(now time.Time) time.Duration {
 	s.Local.Tick(now)
-	s.Peers.MarkAbsent(now, max(missedDigestsAnnounced*s.Every(), minAbsence))
+	s.Peers.MarkAbsent(now, max(missedDigestsAnnounced*s.Interval(), minAbsence))
 	d := s.digest(now, nil, 0)
-	d.EveryMillis = uint32(s.Every().Milliseconds())
-	o := overlay.Overlay{Self: s.Self, Others: s.Peers.Members(s.Self.Name), FlatUpTo: s.FlatUpTo}
+	d.EveryMillis = uint32(s.Interval().Milliseconds())
+	o := overlay.Overlay{Self: s.Self, Others: s.Peers.Members(s.Self.Name), FlatUpTo: s.FlatFleetSize}
 	o.Self.StoreUnreachable = d.GetCut()
 	s.current.Store(&o)
 	interval := hallInterval * time.Duration(max(len(o.DigestPeers()), overlay.FlatSize)) / overlay.FlatSize
@@ -179,8 +179,8 @@
 	return interval
 }
 
-// Every returns the time between two digests to the gateways of the own hall.
-func (s *Gossip) Every() time.Duration {
+// Interval returns the time between two digests to the gateways of the own hall.
+func (s *Gossip) Interval() time.Duration {
 	return max(time.Duration(s.interval.Load()), hallInterval)
 }
 
@@ -283,22 +283,22 @@
 		}
 		switch {
 		case p.GetLoss() != nil:
-			s.Local.Lost(p.GetLoss(), time.Now())
+			s.Local.HandleLoss(p.GetLoss(), time.Now())
 		case p.GetEnds() != nil:
-			s.Local.Ended(p.GetEnds(), time.Now())
+			s.Local.HandleEnds(p.GetEnds(), time.Now())
 		default:
 			s.handleDigest(p.GetDigest(), from.String(), time.Now())
 		}
 	}
 }
 
-// TellLoss tells all other gateways immediately that an endpoint does not answer this one.
-func (s *Gossip) TellLoss(endpoint string) {
+// ReportLoss tells all other gateways immediately that an endpoint does not answer this one.
+func (s *Gossip) ReportLoss(endpoint string) {
 	s.send(&wire.Packet{Loss: &wire.Loss{Gateway: s.Self.Name, Endpoint: endpoint}}, s.Overlay().Others...)
 }
 
-// TellEnds tells some gateways of endpoints that have ended while they ran requests.
-func (s *Gossip) TellEnds(e *wire.Ends, to ...overlay.Member) {
+// ReportEnds tells some gateways of endpoints that have ended while they ran requests.
+func (s *Gossip) ReportEnds(e *wire.Ends, to ...overlay.Member) {
 	s.send(&wire.Packet{Ends: e}, to...)
 }
 
@@ -330,7 +330,7 @@
 	if !s.Peers.AddReport(r, s.Self, now) {
 		return
 	}
-	s.Local.Heard(d, now)
+	s.Local.HandleDigest(d, now)
 	if r.Members > 0 && !d.GetRelayed() && now.Sub(s.relayed[r.From.Hall]) >= sumsInterval/2 {
 		s.relayed[r.From.Hall] = now
 		d.Relayed, d.Address = true, from
--- a/role/gossip/gossip_test.go
+++ b/role/gossip/gossip_test.go
@@ -42,14 +42,14 @@
 	return &wire.Digest{Uses: []*wire.Use{{Endpoint: "card", Active: uint32(active)}}}
 }
 
-// Heard implements gossip.Local.
-func (n *node) Heard(*wire.Digest, time.Time) { n.heard.Add(1) }
+// HandleDigest implements gossip.Local.
+func (n *node) HandleDigest(*wire.Digest, time.Time) { n.heard.Add(1) }
 
-// Lost implements gossip.Local.
-func (n *node) Lost(*wire.Loss, time.Time) {}
+// HandleLoss implements gossip.Local.
+func (n *node) HandleLoss(*wire.Loss, time.Time) {}
 
-// Ended implements gossip.Local.
-func (n *node) Ended(*wire.Ends, time.Time) {}
+// HandleEnds implements gossip.Local.
+func (n *node) HandleEnds(*wire.Ends, time.Time) {}
 
 // Tick implements gossip.Local.
 func (n *node) Tick(time.Time) {}
@@ -122,7 +122,7 @@
 	all := start(t, 2, 3, 0)
 	waitForActive(t, all, 5)
 	all[0].active.Store(4)
-	all[0].News()
+	all[0].SendSoon()
 	waitForActive(t, all[1:], 8)
 }
 
--- a/role/gossip/scale_test.go
+++ b/role/gossip/scale_test.go
@@ -167,14 +167,14 @@
 	return d
 }
 
-// Heard implements gossip.Local.
-func (h *simGateway) Heard(*wire.Digest, time.Time) { h.heard.Add(1) }
+// HandleDigest implements gossip.Local.
+func (h *simGateway) HandleDigest(*wire.Digest, time.Time) { h.heard.Add(1) }
 
-// Lost implements gossip.Local.
-func (h *simGateway) Lost(*wire.Loss, time.Time) {}
+// HandleLoss implements gossip.Local.
+func (h *simGateway) HandleLoss(*wire.Loss, time.Time) {}
 
-// Ended implements gossip.Local.
-func (h *simGateway) Ended(*wire.Ends, time.Time) {}
+// HandleEnds implements gossip.Local.
+func (h *simGateway) HandleEnds(*wire.Ends, time.Time) {}
 
 // Tick implements gossip.Local.
 func (h *simGateway) Tick(time.Time) {}
@@ -239,7 +239,7 @@
 		finder := hosts[0]
 		lost := time.Now()
 		finder.down.Store(true)
-		finder.News()
+		finder.SendSoon()
 		time.Sleep(measureTime)
 		for _, h := range hosts[1:] {
 			at := h.learnedAt.Load()
--- a/role/membership/membership.go
+++ b/role/membership/membership.go
@@ -20,13 +20,13 @@
 	// ID returns the endpoint whose record has the given key in the store, and Decode decodes a record.
 	ID     func(key string) (string, bool)
 	Decode func(id string, text []byte) (endpoint.Endpoint, error)
-	// Dropped is called with the last record of an endpoint that no longer has one, Restarted with the last
+	// OnRemoved is called with the last record of an endpoint that no longer has one, OnRestarted with the last
 	// record of an incarnation that another one has replaced.
-	Dropped, Restarted func(roster.Record)
-	// Overruled is called when another gateway has reported the departure of an endpoint whose record does
+	OnRemoved, OnRestarted func(roster.Record)
+	// OnOverruled is called when another gateway has reported the departure of an endpoint whose record does
 	// not show it.
-	Overruled func()
-	Log       zerolog.Logger
+	OnOverruled func()
+	Log         zerolog.Logger
 
 	// Roster holds the endpoints.
 	Roster roster.Roster
@@ -56,7 +56,7 @@
 		return
 	case roster.Restarted:
 		m.Log.Info().Str("endpoint", id).Int64("born", e.Born).Int64("former", former.Born).Msg("endpoint has started again")
-		m.Restarted(former)
+		m.OnRestarted(former)
 	}
 	m.Log.Info().Str("endpoint", id).Int64("born", e.Born).Str("service", e.Service).Str("address", e.Address).Str("hall", e.Hall).
 		Bool("leaving", e.Leaving).Stringer("layers", e.Layers).Str("card", e.Card).
@@ -80,18 +80,18 @@
 
 // drop handles an endpoint that no longer has a record.
 func (m *Membership) drop(r roster.Record) {
-	m.Dropped(r)
+	m.OnRemoved(r)
 	m.Log.Info().Bool("leaving", r.Leaving).Uint64("former_revision", r.Revision).Dur("record_age_ms", time.Since(r.Since)).
 		Str("endpoint", r.ID).Msg("endpoint gone")
 }
 
-// Leaves notes that an incarnation of an endpoint has itself announced that it is leaving.
-func (m *Membership) Leaves(e endpoint.Endpoint) {
+// NoteDeparture notes that an incarnation of an endpoint has itself announced that it is leaving.
+func (m *Membership) NoteDeparture(e endpoint.Endpoint) {
 	m.Roster.ApplyReport(roster.DepartureReport{Departure: departure.Departure{Endpoint: e.ID, Born: e.Born, Announced: true}}, time.Now())
 }
 
-// Tell adds to a digest the endpoints that have left.
-func (m *Membership) Tell(d *gossip.Digest, now time.Time) {
+// AddToDigest adds to a digest the endpoints that have left.
+func (m *Membership) AddToDigest(d *gossip.Digest, now time.Time) {
 	for _, n := range m.Roster.ReportableDepartures(now) {
 		d.Departures = append(d.Departures, &gossip.Departure{
 			Endpoint: n.Endpoint, Born: n.Born, Announced: n.Announced, Revision: n.Revision, AgeMillis: uint32(n.Age.Milliseconds()),
@@ -99,9 +99,9 @@
 	}
 }
 
-// Hear processes the departures that another gateway reports: this gateway's copy of the store may be behind.
+// HearDigest processes the departures that another gateway reports: this gateway's copy of the store may be behind.
 // A report of one gateway is enough, since it holds what the store says and not a conclusion.
-func (m *Membership) Hear(d *gossip.Digest, now time.Time) {
+func (m *Membership) HearDigest(d *gossip.Digest, now time.Time) {
 	overruled := false
 	for _, reported := range d.GetDepartures() {
 		n := roster.DepartureReport{
@@ -118,6 +118,6 @@
 		}
 	}
 	if overruled {
-		m.Overruled()
+		m.OnOverruled()
 	}
 }
--- a/role/partition/detector.go
+++ b/role/partition/detector.go
@@ -79,8 +79,8 @@
 	return d.aloneSince.Load() != 0
 }
 
-// Asked reports whether other gateways wait to hear whether this one has the store.
-func (d *Detector) Asked() bool {
+// PeersAsking reports whether other gateways wait to hear whether this one has the store.
+func (d *Detector) PeersAsking() bool {
 	return d.outages.Any(d.Clock())
 }
 
@@ -93,8 +93,8 @@
 	}
 }
 
-// Tell adds to this gateway's digest its own outage and those that it knows to be partial.
-func (d *Detector) Tell(digest *gossip.Digest) {
+// AddToDigest adds to this gateway's digest its own outage and those that it knows to be partial.
+func (d *Detector) AddToDigest(digest *gossip.Digest) {
 	digest.Outage = d.outages.Own()
 	if digest.GetProven() {
 		digest.PartialOutages = d.outages.NotOfStore(d.Proven(), d.Clock())
@@ -128,10 +128,10 @@
 	line.Msg("whether this gateway alone has lost the store")
 }
 
-// Elsewhere returns the Retry-After delay for a caller that this gateway cannot serve for lack of the store
+// RetryAfter returns the Retry-After delay for a caller that this gateway cannot serve for lack of the store
 // but another one can: minimal if that one is in the same hall, and otherwise until the load balancer has
 // noticed. It returns false if no other gateway has the store.
-func (d *Detector) Elsewhere(now time.Time) (time.Duration, bool) {
+func (d *Detector) RetryAfter(now time.Time) (time.Duration, bool) {
 	since := d.aloneSince.Load()
 	if since == 0 {
 		return 0, false
--- a/role/partition/detector_test.go
+++ b/role/partition/detector_test.go
@@ -53,7 +53,7 @@
 			d.Tick(begun)
 			require.False(t, d.Alone())
 			own := new(gossip.Digest)
-			d.Tell(own)
+			d.AddToDigest(own)
 			require.NotZero(t, own.GetOutage())
 			r := peers.Report{
 				From: overlay.Member{Name: "other", Hall: c.hall}, Incarnation: 1, Number: 1, Members: c.members,
@@ -89,7 +89,7 @@
 	reportedOutage := func(at time.Duration) uint64 {
 		d.Tick(begun.Add(at))
 		own := new(gossip.Digest)
-		d.Tell(own)
+		d.AddToDigest(own)
 		return own.GetOutage()
 	}
 	require.Zero(t, reportedOutage(0))
--- a/role/quarantine/quarantine.go
+++ b/role/quarantine/quarantine.go
@@ -65,12 +65,12 @@
 	Self string
 	// Keepers returns the gateways that count the ends of the request with the given key.
 	Keepers func(key string) []overlay.Member
-	// Tell sends a datagram to gateways, News causes a digest to be sent soon.
-	Tell func(e *wire.Ends, to ...overlay.Member)
-	News func()
-	// Over reports whether an incarnation of an endpoint has certainly ended. If it may still be
-	// running, Over has it checked.
-	Over func(suspects.Incarnation) bool
+	// SendEnds sends a datagram to gateways, News causes a digest to be sent soon.
+	SendEnds       func(e *wire.Ends, to ...overlay.Member)
+	SendDigestSoon func()
+	// HasEnded reports whether an incarnation of an endpoint has certainly ended. If it may still be
+	// running, HasEnded has it checked.
+	HasEnded func(suspects.Incarnation) bool
 	// Store keeps the quarantined requests.
 	Store Store
 	// Count counts an event.
@@ -118,8 +118,8 @@
 	}
 }
 
-// Left returns how much longer a request is quarantined at now, 0 if it is not.
-func (q *Quarantine) Left(f fingerprint.Fingerprint, now time.Time) time.Duration {
+// Remaining returns how much longer a request is quarantined at now, 0 if it is not.
+func (q *Quarantine) Remaining(f fingerprint.Fingerprint, now time.Time) time.Duration {
 	return q.known.QuarantineLeft(f, now)
 }
 
@@ -138,8 +138,8 @@
 	q.notifyKeepers(incarnation, begun)
 }
 
-// Suspected reports whether a request must be isolated from all other suspects.
-func (q *Quarantine) Suspected(f fingerprint.Fingerprint, now time.Time) bool {
+// MustIsolate reports whether a request must be isolated from all other suspects.
+func (q *Quarantine) MustIsolate(f fingerprint.Fingerprint, now time.Time) bool {
 	return q.known.Ends(f, now) >= isolateFrom
 }
 
@@ -153,8 +153,8 @@
 	return q.known.Recent(now)
 }
 
-// Survived notes that a request has completed.
-func (q *Quarantine) Survived(f fingerprint.Fingerprint, now time.Time) {
+// Completed notes that a request has completed.
+func (q *Quarantine) Completed(f fingerprint.Fingerprint, now time.Time) {
 	if q.known.Clear(f, now) {
 		q.notifyKeepers(suspects.Incarnation{}, []suspects.Begun{{Fingerprint: f}})
 	}
@@ -179,15 +179,15 @@
 		}
 	}
 	for _, one := range to {
-		q.Tell(one.ends, one.to)
+		q.SendEnds(one.ends, one.to)
 		q.mu.Lock()
 		q.resends = append(q.resends, one)
 		q.mu.Unlock()
 	}
 }
 
-// Hear processes ends and completions that another gateway reports to the keepers.
-func (q *Quarantine) Hear(e *wire.Ends, now time.Time) {
+// HearEnds processes ends and completions that another gateway reports to the keepers.
+func (q *Quarantine) HearEnds(e *wire.Ends, now time.Time) {
 	for _, p := range e.GetPrints() {
 		if e.GetEndpoint() == "" {
 			q.known.Clear(fingerprint.Fingerprint(p), now)
@@ -205,7 +205,7 @@
 	q.resends = nil
 	q.mu.Unlock()
 	for _, one := range resends {
-		q.Tell(one.ends, one.to)
+		q.SendEnds(one.ends, one.to)
 	}
 	q.Review(now)
 }
@@ -231,7 +231,7 @@
 func (q *Quarantine) record(f fingerprint.Fingerprint, e suspects.End, now time.Time) {
 	ends := q.known.Note(f, e, now)
 	if len(ends) == reportFrom {
-		q.News() // the request is isolated once all gateways know
+		q.SendDigestSoon() // the request is isolated once all gateways know
 	}
 	q.evaluate(f, ends, now)
 }
@@ -250,7 +250,7 @@
 	}
 	var confirmed []suspects.End
 	for _, e := range ends {
-		if q.Over(e.Incarnation) {
+		if q.HasEnded(e.Incarnation) {
 			confirmed = append(confirmed, e)
 		}
 	}
@@ -268,7 +268,7 @@
 	}
 	q.Count(eventBegun)
 	q.Log.Warn().Stringer("print", f).Strs("ended", formatEnds(confirmed)).Dur("lasts_ms", quarantineTime).Msg("request is quarantined")
-	q.News()
+	q.SendDigestSoon()
 	q.write(f)
 }
 
@@ -285,8 +285,8 @@
 	return list
 }
 
-// Told returns the suspected and quarantined requests for a digest sent at now.
-func (q *Quarantine) Told(now time.Time) []*wire.Suspect {
+// Reports returns the suspected and quarantined requests for a digest sent at now.
+func (q *Quarantine) Reports(now time.Time) []*wire.Suspect {
 	list := q.known.List(reportFrom, maxReported, now)
 	reports := make([]*wire.Suspect, 0, len(list))
 	for _, s := range list {
@@ -297,8 +297,8 @@
 	return reports
 }
 
-// Adopt processes the suspected and quarantined requests in a digest of another gateway.
-func (q *Quarantine) Adopt(list []*wire.Suspect, from string, now time.Time) {
+// HearReports processes the suspected and quarantined requests in a digest of another gateway.
+func (q *Quarantine) HearReports(list []*wire.Suspect, from string, now time.Time) {
 	for _, s := range list {
 		f := fingerprint.Fingerprint(s.GetPrint())
 		if s.GetEnds() > 0 {
--- a/role/quarantine/quarantine_test.go
+++ b/role/quarantine/quarantine_test.go
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	n := &node{f: f, cancel: cancel, begun: time.Now()}
 	n.Quarantine = &quarantine.Quarantine{
-		Self: name(index), Keepers: f.keepers(index), Tell: n.sendEnds, News: func() {}, Over: f.over, Store: f,
+		Self: name(index), Keepers: f.keepers(index), SendEnds: n.sendEnds, SendDigestSoon: func() {}, HasEnded: f.over, Store: f,
 		Count: func(string) {}, Log: zerolog.Nop(),
 	}
 	n.Init()
@@ -105,10 +105,10 @@
 		for ctx.Err() == nil {
 			time.Sleep(digestInterval)
 			n.Tick(time.Now())
-			reports := n.Told(time.Now())
+			reports := n.Reports(time.Now())
 			for _, other := range f.others(n) {
 				if !f.lost() {
-					other.Adopt(reports, name(index), time.Now())
+					other.HearReports(reports, name(index), time.Now())
 				}
 			}
 		}
@@ -145,7 +145,7 @@
 			time.Sleep(time.Duration(1+n.f.intN(20)) * time.Millisecond)
 			for _, o := range n.f.others(n) {
 				if o.Self == m.Name {
-					o.Hear(e, time.Now())
+					o.HearEnds(e, time.Now())
 				}
 			}
 		})
@@ -221,8 +221,8 @@
 // endpoint ends. It returns the number of endpoints that have ended.
 func (f *fleet) send(index, most int, request fingerprint.Fingerprint) (sends int) {
 	n := f.nodes[index]
-	for ; sends < most && n.Left(request, time.Now()) == 0; sends++ {
-		isolated := n.Suspected(request, time.Now())
+	for ; sends < most && n.Remaining(request, time.Now()) == 0; sends++ {
+		isolated := n.MustIsolate(request, time.Now())
 		f.mu.Lock()
 		incarnation := suspects.Incarnation{Endpoint: fmt.Sprint("endpoint-", len(f.ended)%33), Born: int64(len(f.ended) / 33)}
 		f.ended[incarnation] = time.Now()
@@ -308,8 +308,8 @@
 			f.send(f.intN(len(f.nodes)), 1, poison)
 			time.Sleep(time.Second)
 			n := f.nodes[f.intN(len(f.nodes))]
-			require.Zero(t, n.Left(poison, time.Now()), "after %d", i)
-			n.Survived(poison, time.Now())
+			require.Zero(t, n.Remaining(poison, time.Now()), "after %d", i)
+			n.Completed(poison, time.Now())
 			time.Sleep(time.Second)
 		}
 	})
@@ -329,7 +329,7 @@
 		}
 		time.Sleep(10 * time.Second)
 		for _, n := range f.nodes[1:] {
-			require.Zero(t, n.Left(poison, time.Now()))
+			require.Zero(t, n.Remaining(poison, time.Now()))
 		}
 	})
 }
@@ -347,11 +347,11 @@
 			time.Sleep(time.Second)
 		}
 		for i, n := range f.nodes {
-			require.Positive(t, n.Left(poison, time.Now()), name(i))
+			require.Positive(t, n.Remaining(poison, time.Now()), name(i))
 		}
 		time.Sleep(11 * time.Minute)
 		for i, n := range f.nodes {
-			require.Zero(t, n.Left(poison, time.Now()), name(i))
+			require.Zero(t, n.Remaining(poison, time.Now()), name(i))
 		}
 	})
 }
--- a/role/throttling/throttling.go
+++ b/role/throttling/throttling.go
@@ -34,11 +34,11 @@
 	Name string
 	// Peers holds the other gateways.
 	Peers *peers.Table
-	// Every returns the interval between digests.
-	Every func() time.Duration
-	// Left is called when an endpoint announces that it is leaving.
-	Left func(endpoint string)
-	Log  zerolog.Logger
+	// DigestInterval returns the interval between digests.
+	DigestInterval func() time.Duration
+	// OnLeaving is called when an endpoint announces that it is leaving.
+	OnLeaving func(endpoint string)
+	Log       zerolog.Logger
 }
 
 // Hear processes the limit, backoff period and departure that an endpoint sent with an answer.
@@ -53,8 +53,8 @@
 	t.applyChange(endpoint, i, before, after, w.Received)
 }
 
-// HearOthers processes an endpoint's limit as reported by another gateway, or by one that reports for a hall.
-func (t *Throttling) HearOthers(endpoint string, i *intake.Intake, use *gossip.Use, forHall bool, now time.Time) {
+// HearReport processes an endpoint's limit as reported by another gateway, or by one that reports for a hall.
+func (t *Throttling) HearReport(endpoint string, i *intake.Intake, use *gossip.Use, forHall bool, now time.Time) {
 	age := use.GetLimitAgeMillis()
 	if age == 0 {
 		return
@@ -67,9 +67,9 @@
 	t.applyChange(endpoint, i, before, after, now)
 }
 
-// Tell adds to use what other gateways need to know of the endpoint's limit, and the demand of this gateway
+// AddToUse adds to use what other gateways need to know of the endpoint's limit, and the demand of this gateway
 // plus that of the others in the given share.
-func (t *Throttling) Tell(use *gossip.Use, i *intake.Intake, others peers.Usage, forHall bool, now time.Time) {
+func (t *Throttling) AddToUse(use *gossip.Use, i *intake.Intake, others peers.Usage, forHall bool, now time.Time) {
 	known := i.Load()
 	use.WantedMillis = uint32(max(others.Wanted+int64(known.Demand(now)*peers.WantedUnit), 0))
 	limit := known.Limit()
@@ -90,9 +90,9 @@
 	return 0
 }
 
-// Divide recomputes this gateway's share of an endpoint's limit if it has demand there: the demand of the
+// UpdateShare recomputes this gateway's share of an endpoint's limit if it has demand there: the demand of the
 // others changes with each digest.
-func (t *Throttling) Divide(endpoint string, i *intake.Intake, now time.Time) {
+func (t *Throttling) UpdateShare(endpoint string, i *intake.Intake, now time.Time) {
 	if i.NeverAnnounced() {
 		return // most endpoints state no limit
 	}
@@ -105,7 +105,7 @@
 func (t *Throttling) divide(endpoint string, i *intake.Intake, now time.Time) float64 {
 	known := i.Load()
 	near, far := t.Peers.Demands(endpoint)
-	own := known.Claim(now, propagationDigests*t.Every())
+	own := known.Claim(now, propagationDigests*t.DigestInterval())
 	share := apportion.Division{
 		Key: endpoint, Limit: known.Limit().Rate, Fleet: t.Peers.Size(), Individual: near, HallSums: far, EvenShare: apportion.DefaultEvenShare,
 		Own: apportion.Claim{Name: t.Name, Members: 1, Demand: own},
@@ -118,7 +118,7 @@
 func (t *Throttling) applyChange(endpoint string, i *intake.Intake, before, after throttle.Throttle, now time.Time) {
 	if after.Held(now) == throttle.Leaving && before.Held(now) != throttle.Leaving {
 		t.Log.Info().Str("endpoint", endpoint).Msg("endpoint says that it leaves")
-		t.Left(endpoint)
+		t.OnLeaving(endpoint)
 	}
 	from, to := before.Limit(), after.Limit()
 	if from == to {
