--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -60,7 +60,7 @@
 
 func platformHandler(f *flag.FlagSet) func() http.Handler {
 	lag := f.Duration("lag", 0, "delay before a change of the host list becomes visible")
-	return func() http.Handler { return (&platform.Store{Lag: *lag}).Handler() }
+	return func() http.Handler { return (&platform.Store{HostsDelay: *lag}).Handler() }
 }
 
 func engineHandler(f *flag.FlagSet) func() http.Handler {
@@ -77,7 +77,7 @@
 		e := &engine.Engine{
 			Models: map[string]toy.Model{*name: {Name: *name, Layers: *layers}},
 			Layers: layer.Range{First: *first, End: *end}, Base: *base, PerToken: *perToken,
-			MaxBatch: *batch, LoadTime: *load, PrefixBlocks: *prefix, Keep: true,
+			MaxBatch: *batch, LoadTime: *load, PrefixBlocks: *prefix, KeepRuns: true,
 		}
 		if *end > *first {
 			e.Service = *name
@@ -89,7 +89,7 @@
 func serviceHandler(f *flag.FlagSet) func() http.Handler {
 	took := f.Duration("took", 5*time.Millisecond, "duration of a call")
 	return func() http.Handler {
-		s := &service.Service{Took: *took}
+		s := &service.Service{Duration: *took}
 		mux := http.NewServeMux()
 		mux.Handle("/", s)
 		mux.HandleFunc("GET /test/record", func(w http.ResponseWriter, _ *http.Request) {
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -42,24 +42,24 @@
 type Answer struct {
 	Tokens   []uint32
 	Attempts int
-	// Before and After are the endpoints of the chain after half of the tokens and at the end.
-	Before, After []string
+	// ChainBefore and ChainAfter are the endpoints of the chain after half of the tokens and at the end.
+	ChainBefore, ChainAfter []string
 	// Pause is the longest time between two tokens.
 	Pause time.Duration
 }
 
-// NotCarriedError reports an answer that did not resume on another chain, or whose tokens are not those
+// NotResumedError reports an answer that did not resume on another chain, or whose tokens are not those
 // of the model.
-type NotCarriedError struct {
+type NotResumedError struct {
 	Answer Answer
 	// Killed is the endpoint whose agent was killed.
 	Killed string
 }
 
 // Error describes the tokens, attempts and chains of the answer.
-func (e *NotCarriedError) Error() string {
+func (e *NotResumedError) Error() string {
 	return fmt.Sprintf("answer did not resume correctly after the agent of %s was killed: %d of %d tokens in %d attempt(s), along %s and then %s",
-		e.Killed, len(e.Answer.Tokens), tokens, e.Answer.Attempts, e.Answer.Before, e.Answer.After)
+		e.Killed, len(e.Answer.Tokens), tokens, e.Answer.Attempts, e.Answer.ChainBefore, e.Answer.ChainAfter)
 }
 
 // Run runs the demo. It returns a NotCarriedError if the answer whose agent is killed is incomplete or
@@ -89,7 +89,7 @@
 // lab returns a lab of three halls, each with two engines of different speed for one third of the model.
 func (d *Demo) lab(records string) *lab.Lab {
 	l := &lab.Lab{
-		Entries: []lab.Host{{Name: "entry-1", Hall: "rose-hill"}, {Name: "entry-2", Hall: "curepipe"}},
+		Entries: []lab.Entry{{Name: "entry-1", Hall: "rose-hill"}, {Name: "entry-2", Hall: "curepipe"}},
 		Plains:  []lab.Plain{{Name: "records-1", Hall: "rose-hill", Service: plain, Base: records}},
 		Service: model, Layers: layers, PlainService: plain,
 		Teams: map[string]float64{team: 1}, Log: d.Log,
@@ -122,10 +122,10 @@
 		return err
 	}
 	fmt.Fprintf(d.Out, "   the agent of %s was killed half way: chain %s, then %s; longest pause %s\n",
-		killed, strings.Join(answer.Before, " "), strings.Join(answer.After, " "), answer.Pause.Round(time.Millisecond))
+		killed, strings.Join(answer.ChainBefore, " "), strings.Join(answer.ChainAfter, " "), answer.Pause.Round(time.Millisecond))
 	want := toy.Model{Name: model, Layers: layers}.Answer(toy.Tokens(prompt), tokens)
-	if answer.Attempts < 2 || slices.Contains(answer.After, killed) || !slices.Equal(answer.Tokens, want) {
-		return &NotCarriedError{Answer: answer, Killed: killed}
+	if answer.Attempts < 2 || slices.Contains(answer.ChainAfter, killed) || !slices.Equal(answer.Tokens, want) {
+		return &NotResumedError{Answer: answer, Killed: killed}
 	}
 	return nil
 }
@@ -146,10 +146,10 @@
 		}
 		fmt.Fprintf(d.Out, "%c", token)
 		a.Tokens = append(a.Tokens, token)
-		a.After = inUse(e)
+		a.ChainAfter = inUse(e)
 		if len(a.Tokens) == tokens/2 && onHalf != nil {
-			a.Before = a.After
-			onHalf(a.Before)
+			a.ChainBefore = a.ChainAfter
+			onHalf(a.ChainBefore)
 		}
 		return nil
 	})
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -52,14 +52,14 @@
 	Base string
 }
 
-// Host describes an entry: its name and its data hall.
-type Host struct {
+// Entry describes an entry: its name and its data hall.
+type Entry struct {
 	Name, Hall string
 }
 
 // Lab is a deployment in one process. Set the exported fields, then call Start.
 type Lab struct {
-	Entries []Host
+	Entries []Entry
 	Engines []Engine
 	Plains  []Plain
 	// Service is the service of the engines, and Layers the number of layers of its model.
@@ -169,8 +169,8 @@
 // basePort lies below the kernel's range of ephemeral ports.
 const basePort = 20000
 
-// Life returns a context that is cancelled when the named process is killed.
-func (l *Lab) Life(name string) context.Context {
+// Context returns a context that is cancelled when the named process is killed.
+func (l *Lab) Context(name string) context.Context {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.contexts[name]
@@ -219,7 +219,7 @@
 	return nil
 }
 
-func (l *Lab) newEntry(h Host, address string, peers []string) *entry.Entry {
+func (l *Lab) newEntry(h Entry, address string, peers []string) *entry.Entry {
 	return &entry.Entry{
 		Name: h.Name, Hall: h.Hall, Address: address, Peers: peers, Store: l.Store, Hosts: l.Store,
 		Links: linkLatency, MaxQueue: orDefault(l.MaxQueue, defaultQueue), MaxDeadline: time.Minute,
@@ -343,22 +343,22 @@
 	for !l.ready() {
 		select {
 		case <-ctx.Done():
-			return trace.Wrap(&UnsettledError{l.known()})
+			return trace.Wrap(&StartTimeoutError{l.known()})
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 	return nil
 }
 
-// UnsettledError reports that the entries of a lab did not get to know all
+// StartTimeoutError reports that the entries of a lab did not get to know all
 // endpoints and the configuration in time.
-type UnsettledError struct {
+type StartTimeoutError struct {
 	// Known is the number of endpoints that each entry knows.
 	Known []int
 }
 
 // Error lists the numbers of known endpoints.
-func (e *UnsettledError) Error() string {
+func (e *StartTimeoutError) Error() string {
 	return fmt.Sprintf("lab did not start in time: the entries know %v endpoints", e.Known)
 }
 
--- a/role/gateway/departure_test.go
+++ b/role/gateway/departure_test.go
@@ -86,7 +86,7 @@
 	second := w.start("gateway-2")
 	w.eventually(second.Ready)
 	w.eventually(func() bool { return len(w.site.Store.Keys("grademill/gateways/")) == 2 })
-	a.Say(site.Says{Leaving: true})
+	a.SetSignals(site.Signals{Leaving: true})
 	require.False(t, w.avoids(a))
 	w.target = w.serve(second)
 	before := len(a.Seen())
--- a/role/gateway/leave_test.go
+++ b/role/gateway/leave_test.go
@@ -27,7 +27,7 @@
 func newSlowModel(t *testing.T, change func(*gateway.Gateway)) (*fixture, []*site.Endpoint) {
 	cards := []*site.Endpoint{card("card-0", "north"), card("card-1", "north")}
 	for _, c := range cards {
-		c.EventEvery = slowEventInterval
+		c.EventInterval = slowEventInterval
 	}
 	w := newFixtureWith(t, change, cards...)
 	w.eventually(func() bool { return covered(cards, 1) })
@@ -50,7 +50,7 @@
 		done <- string(text)
 	}()
 	for range 3 { // each breaks off after its first event
-		w.site.Next(model, site.Cut)
+		w.site.NextModes(model, site.Cut)
 		w.do(w.streamRequest("/once/1", 4))
 	}
 	require.Equal(t, fullBody(8), <-done)
@@ -77,7 +77,7 @@
 			w.eventually(func() bool { return covered(cards, 1) })
 			w.waitForLayers(cards...)
 			answer, r, later := w.startStream(cards, 200)
-			later[0].Kill()
+			later[0].Silence()
 			w.waitForLog("whether a try is left for another")
 			later[0].Revive()
 			require.Equal(t, fullBody(200), w.readRest(answer))
@@ -128,7 +128,7 @@
 	}
 	for _, c := range cards {
 		if from, _ := c.Layers(); from == 0 {
-			c.Kill()
+			c.Silence()
 		}
 	}
 	order := regexp.MustCompile(`"held":"\[[1-9].*"cut":(true|false),"result":"taken"`)
@@ -191,7 +191,7 @@
 			}
 			return at != nil
 		})
-		at.Kill()
+		at.Silence()
 		killed = append(killed, at)
 	}
 	w.waitForLog(`"address":"` + killed[1].Address() + `","error"`)
--- a/role/gateway/life_test.go
+++ b/role/gateway/life_test.go
@@ -14,7 +14,7 @@
 // cardWithBirth returns a card whose record holds its start time.
 func cardWithBirth(id string) *site.Endpoint {
 	c := card(id, "north")
-	c.Born = 1
+	c.Started = 1
 	return c
 }
 
@@ -49,8 +49,8 @@
 	w := newFixture(t, cards...)
 	w.eventually(func() bool { return covered(cards, 1) })
 	w.waitForLayers(cards...)
-	next := cards[0].Next()
-	cards[0].Kill()
+	next := cards[0].NextIncarnation()
+	cards[0].Silence()
 	w.site.Stop(cards[0])
 	require.NoError(t, w.site.Start(next))
 	w.waitForLog("endpoint has started again")
@@ -63,9 +63,9 @@
 func TestLateRecordOfAPreviousIncarnationIsIgnored(t *testing.T) {
 	t.Parallel()
 	former := plain("a")
-	former.Born = 1
+	former.Started = 1
 	w := newFixture(t, former)
-	next := former.Next()
+	next := former.NextIncarnation()
 	require.NoError(t, w.site.Start(next))
 	w.eventually(func() bool {
 		require.Equal(t, http.StatusOK, w.do(w.request("POST", "/freeze/1", "x")).StatusCode)
@@ -85,7 +85,7 @@
 	t.Parallel()
 	f := &fleet{path: "/freeze/9", newEndpoint: func(id string) *site.Endpoint {
 		e := plain(id)
-		e.Born = 1
+		e.Started = 1
 		return e
 	}, reuseIDs: true}
 	newFleet(t, 2, f)
@@ -95,7 +95,7 @@
 		time.Sleep(arrivalInterval)
 		f.send(i, poison)
 	}
-	require.LessOrEqual(t, len(f.site.Ended()), most)
+	require.LessOrEqual(t, len(f.site.Crashed()), most)
 	require.Contains(t, f.log.String(), `"message":"request is quarantined"`)
 }
 
@@ -171,7 +171,7 @@
 	for w.do(w.streamRequest("/plan/1", 3)); len(first.Seen()) == 0; {
 		w.do(w.streamRequest("/plan/1", 3))
 	}
-	first.Stay(site.Refuse)
+	first.SetMode(site.Refuse)
 	seen := len(first.Seen())
 	const requests = 40
 	for range requests { // within the time for which an endpoint is avoided after a refusal
--- a/role/gateway/limit_test.go
+++ b/role/gateway/limit_test.go
@@ -91,15 +91,15 @@
 // allows.
 func requireLimitKept(t *testing.T, e *site.Endpoint, limit float64) {
 	t.Helper()
-	require.False(t, e.NamedAt().IsZero(), "it has stated its limit")
+	require.False(t, e.LimitSentAt().IsZero(), "it has stated its limit")
 	var later []time.Time
 	for _, at := range e.Arrived() {
-		if at.After(e.NamedAt().Add(site.LimitHeard)) {
+		if at.After(e.LimitSentAt().Add(site.LimitGrace)) {
 			later = append(later, at)
 		}
 	}
 	require.NotEmpty(t, later, "it still gets requests")
-	require.LessOrEqual(t, site.MostWithin(later, site.LimitSpan), site.Allowed(limit))
+	require.LessOrEqual(t, site.MaxWithin(later, site.LimitSpan), site.Allowed(limit))
 }
 
 // An overloaded endpoint stated a limit of 3.8 requests a second, but still got 10 to 16 a second from five
@@ -112,10 +112,10 @@
 	for path, endpoints := range endpointsByPath() {
 		t.Run(path, func(t *testing.T) {
 			t.Parallel()
-			f, overloaded, _, stop := sayUnderLoad(t, path, halls, endpoints, site.Says{Limit: limit})
-			f.eventually(func() bool { return !overloaded.NamedAt().IsZero() })
-			named := overloaded.NamedAt()
-			f.eventually(func() bool { return time.Since(named) > site.LimitHeard+site.LimitSpan+time.Second })
+			f, overloaded, _, stop := sayUnderLoad(t, path, halls, endpoints, site.Signals{Limit: limit})
+			f.eventually(func() bool { return !overloaded.LimitSentAt().IsZero() })
+			named := overloaded.LimitSentAt()
+			f.eventually(func() bool { return time.Since(named) > site.LimitGrace+site.LimitSpan+time.Second })
 			answers := stop()
 			requireLimitKept(t, overloaded, limit)
 			requireMostServed(t, answers)
@@ -146,9 +146,9 @@
 	f.targets = f.targets[:1]
 	stop := f.generateLoad(50, func() *http.Request { return f.streamRequest("/freeze/1", 3) })
 	overloaded := f.busiest(endpoints)
-	overloaded.Say(site.Says{Limit: 3.8})
+	overloaded.SetSignals(site.Signals{Limit: 3.8})
 	f.waitForLog(fmt.Sprintf(`"process":"gateway-2","endpoint":%q,"limit_per_s":3.8`, overloaded.ID))
-	overloaded.Say(site.Says{})
+	overloaded.SetSignals(site.Signals{})
 	f.waitForLog(fmt.Sprintf(`"process":"gateway-2","endpoint":%q,"limit_per_s":0`, overloaded.ID))
 	stop()
 	require.Contains(t, f.log.String(), `"relays":1`)
@@ -160,7 +160,7 @@
 	const limit, burst = 4.0, 30
 	only := plain("plain-0")
 	w := newFixture(t, only)
-	only.Say(site.Says{Limit: limit})
+	only.SetSignals(site.Signals{Limit: limit})
 	require.Equal(t, http.StatusOK, w.do(w.request("POST", "/freeze/0", "x")).StatusCode)
 	w.waitForLog(`"limit_per_s":4`)
 	var group sync.WaitGroup
--- a/role/gateway/loss_test.go
+++ b/role/gateway/loss_test.go
@@ -35,7 +35,7 @@
 	w.eventually(func() bool { return covered(cards, 2) })
 	w.waitForLayers(cards...)
 	answer, r, later := w.startStream(cards, 200)
-	later[0].Kill()
+	later[0].Silence()
 	require.Equal(t, fullBody(200), w.readRest(answer))
 	require.Contains(t, endLine(t, w, r.Header.Get("X-Request-Id")), "moved: ")
 	requireLayersInOrder(t, w)
@@ -53,7 +53,7 @@
 	socket, err := net.Dial("udp4", w.gateway.Address)
 	require.NoError(t, err)
 	defer socket.Close() //nolint:errcheck // a test's socket
-	cards[0].Kill()
+	cards[0].Silence()
 	w.eventually(func() bool {
 		_, err := socket.Write(text)
 		return err == nil && strings.Contains(w.log.String(), `"endpoint":"card-0","address":"`+cards[0].Address()+`","error"`)
@@ -133,7 +133,7 @@
 	t.Parallel()
 	w, cards := newModel(t)
 	answer, _, later := w.startStream(cards, 200)
-	later[0].Kill()
+	later[0].Silence()
 	w.readRest(answer)
 	w.waitForLog("endpoint does not answer")
 	later[0].Revive()
@@ -149,7 +149,7 @@
 	w.eventually(func() bool { return covered(cards, 1) })
 	w.waitForLayers(cards...)
 	answer, _, later := w.startStream(cards, 400)
-	later[0].Kill()
+	later[0].Silence()
 	w.waitForLog("endpoint does not answer")
 	later[0].Revive()
 	require.Equal(t, fullBody(3), w.do(w.streamRequest("/plan/1", 3)).body)
@@ -169,12 +169,12 @@
 	}
 	for _, c := range left {
 		if from, to := c.Layers(); overlaps(later[0], from, to) {
-			c.Kill() // then no other endpoint holds those layers
+			c.Silence() // then no other endpoint holds those layers
 			left = slices.DeleteFunc(left, func(e *site.Endpoint) bool { return e == c })
 			break
 		}
 	}
-	later[0].Kill()
+	later[0].Silence()
 	defer answer.Body.Close() //nolint:errcheck // the stream may have broken
 	w.eventually(func() bool {
 		return w.do(w.streamRequest("/plan/1", 3)).StatusCode == http.StatusOK && covered(left, 1)
@@ -226,7 +226,7 @@
 		}
 	}
 	require.NotNil(t, first)
-	first.Stay(site.Drop)
+	first.SetMode(site.Drop)
 	const requests = 40
 	for range requests {
 		require.Equal(t, fullBody(3), w.do(w.streamRequest("/plan/1", 3)).body)
@@ -272,7 +272,7 @@
 	w.waitForLayers(cards...)
 	answer, r, later := w.startStream(cards, 400)
 	starved.Store(true)
-	later[0].Kill()
+	later[0].Silence()
 	_, err := io.ReadAll(answer.Body)
 	require.Error(t, err, "no other endpoint holds the layers")
 	endLine(t, w, r.Header.Get("X-Request-Id")) // waits until the request has ended
@@ -305,7 +305,7 @@
 	var cards []*site.Endpoint
 	for i := range 2 {
 		c := card(fmt.Sprint("card-", i), "north")
-		c.EventEvery = 300 * time.Millisecond
+		c.EventInterval = 300 * time.Millisecond
 		cards = append(cards, c)
 	}
 	w := newFixtureWith(t, func(g *gateway.Gateway) {
@@ -335,7 +335,7 @@
 	w, cards := newModelOf(t, 2, 1)
 	for _, c := range cards {
 		if from, _ := c.Layers(); from == 0 {
-			c.Kill()
+			c.Silence()
 			w.site.Stop(c)
 		}
 	}
--- a/role/gateway/plain_test.go
+++ b/role/gateway/plain_test.go
@@ -68,7 +68,7 @@
 	w := newFixture(t, a, b, c)
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
-			w.site.Next(records, one.modes...)
+			w.site.NextModes(records, one.modes...)
 			r := w.request("POST", one.path, "x")
 			id := r.Header.Get("X-Request-Id")
 			answer := w.do(r)
@@ -88,8 +88,8 @@
 	t.Parallel()
 	a, b := plain("a"), plain("b")
 	w := newFixture(t, a, b)
-	a.Stay(site.Refuse)
-	b.Stay(site.Refuse)
+	a.SetMode(site.Refuse)
+	b.SetMode(site.Refuse)
 	for _, path := range []string{"/renew/", "/freeze/"} {
 		r := w.request("POST", path, "x")
 		requireNotRun(t, w.do(r), r.Header.Get("X-Request-Id"), a, b)
@@ -101,7 +101,7 @@
 	t.Parallel()
 	e := plain("a")
 	w := newFixture(t, e)
-	e.Stay(site.Hang)
+	e.SetMode(site.Hang)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		answer, err := http.DefaultClient.Do(w.request("POST", "/renew/", "x").WithContext(ctx))
@@ -111,7 +111,7 @@
 	}()
 	w.eventually(func() bool { return len(e.Seen()) == 1 })
 	cancel()
-	w.eventually(func() bool { return e.Left() == 1 })
+	w.eventually(func() bool { return e.Disconnects() == 1 })
 	w.waitForLog(`"outcome":"caller left"`)
 }
 
--- a/role/gateway/quarantine_test.go
+++ b/role/gateway/quarantine_test.go
@@ -57,7 +57,7 @@
 	}
 	inHalls := newFleetInHalls(t, slices.Repeat([]string{"north"}, gateways), f.endpoints...)
 	f.fixture, f.targets = inHalls.fixture, inHalls.targets
-	f.site.Doom(poison)
+	f.site.CrashOn(poison)
 	return f
 }
 
@@ -73,7 +73,7 @@
 // again.
 func (f *fleet) replaceEnded() {
 	f.t.Helper()
-	for _, e := range f.site.Ended()[f.ended:] {
+	for _, e := range f.site.Crashed()[f.ended:] {
 		f.ended++
 		if !f.reuseIDs {
 			f.site.Withdraw(e)
@@ -81,7 +81,7 @@
 		f.endpoints = slices.DeleteFunc(f.endpoints, func(o *site.Endpoint) bool { return o == e })
 		next := f.newEndpoint(fmt.Sprint("endpoint-", len(f.endpoints)+f.ended))
 		if f.reuseIDs {
-			next = e.Next()
+			next = e.NextIncarnation()
 		}
 		f.endpoints = append(f.endpoints, next)
 		require.NoError(f.t, f.site.Start(next))
@@ -130,7 +130,7 @@
 				time.Sleep(arrivalInterval)
 				last = f.send(i, poison)
 			}
-			require.LessOrEqual(t, len(f.site.Ended()), most)
+			require.LessOrEqual(t, len(f.site.Crashed()), most)
 			require.Equal(t, http.StatusServiceUnavailable, last.StatusCode)
 			require.NotEmpty(t, last.Header.Get("Retry-After"))
 			f.replaceEnded()
@@ -146,7 +146,7 @@
 func TestRequestThatSilencesEndpointsIsHeldBack(t *testing.T) {
 	t.Parallel()
 	f := newModelFleet(t, 3)
-	f.site.Dark, f.deadlineMillis = true, 1500
+	f.site.CrashSilently, f.deadlineMillis = true, 1500
 	const arrivals, most = 8, 6
 	var last reply
 	for i := range arrivals {
@@ -154,7 +154,7 @@
 		time.Sleep(arrivalInterval)
 		last = f.send(i, poison)
 	}
-	require.LessOrEqual(t, len(f.site.Ended()), most)
+	require.LessOrEqual(t, len(f.site.Crashed()), most)
 	require.Equal(t, http.StatusServiceUnavailable, last.StatusCode)
 	requireLayersInOrder(t, f.fixture)
 }
@@ -171,7 +171,7 @@
 			t.Run(fmt.Sprintf("%s, bodies repeated %v", name, again), func(t *testing.T) {
 				t.Parallel()
 				f := start(t, 3)
-				f.site.Doom(poison + ", too")
+				f.site.CrashOn(poison + ", too")
 				const rounds, beside, most = 12, 12, 12 // six ends for each of the two
 				for round := range rounds {
 					f.replaceEnded()
@@ -188,7 +188,7 @@
 					f.do(f.newRequest(round+1, poison+", too"))
 					harmless.Wait()
 				}
-				require.LessOrEqual(t, len(f.site.Ended()), most)
+				require.LessOrEqual(t, len(f.site.Crashed()), most)
 				fingerprints := make(map[string]bool)
 				for _, line := range quarantineLine.FindAllStringSubmatch(f.log.String(), -1) {
 					fingerprints[line[1]] = true
@@ -214,12 +214,12 @@
 		f.replaceEnded()
 		f.send(i, poison)
 	}
-	ended := len(f.site.Ended())
+	ended := len(f.site.Crashed())
 	later := f.start("gateway-2")
 	f.eventually(later.Ready)
 	f.targets = []string{f.serve(later)}
 	require.Equal(t, http.StatusServiceUnavailable, f.send(0, poison).StatusCode)
-	require.Len(t, f.site.Ended(), ended)
+	require.Len(t, f.site.Crashed(), ended)
 }
 
 // A request that may run only once is sent to one endpoint, even if that ends under it.
@@ -228,7 +228,7 @@
 	f := newPlainFleet(t, 1)
 	f.path = "/renew/9"
 	require.Equal(t, http.StatusBadGateway, f.send(0, poison).StatusCode)
-	require.Len(t, f.site.Ended(), 1)
+	require.Len(t, f.site.Crashed(), 1)
 }
 
 // A request may also end the endpoints that it is moved to while it runs: it is not moved again once three
@@ -236,11 +236,11 @@
 func TestRequestIsNotMovedOnceThreeHaveEnded(t *testing.T) {
 	t.Parallel()
 	w, cards := newModelOf(t, 16, 6)
-	w.site.DoomMoved("the prompt")
+	w.site.CrashOnMove("the prompt")
 	answer, _, later := w.startStream(cards, 400)
-	later[0].Kill()
+	later[0].Silence()
 	_, _ = io.ReadAll(answer.Body) // the stream may break off
 	require.NoError(t, answer.Body.Close())
-	require.LessOrEqual(t, len(w.site.Ended()), 4)
-	require.GreaterOrEqual(t, len(w.site.Ended()), 3)
+	require.LessOrEqual(t, len(w.site.Crashed()), 4)
+	require.GreaterOrEqual(t, len(w.site.Crashed()), 3)
 }
--- a/role/gateway/rest_test.go
+++ b/role/gateway/rest_test.go
@@ -22,7 +22,7 @@
 // sayUnderLoad starts a gateway in each of the halls and sends them 50 requests a second. It has the busiest
 // endpoint announce something, and returns that endpoint, the time of the announcement, and a function that
 // stops the requests.
-func sayUnderLoad(t *testing.T, path string, halls []string, endpoints []*site.Endpoint, says site.Says) (
+func sayUnderLoad(t *testing.T, path string, halls []string, endpoints []*site.Endpoint, says site.Signals) (
 	*fleet, *site.Endpoint, time.Time, func() map[int]int,
 ) {
 	f := newFleetInHalls(t, halls, endpoints...)
@@ -31,7 +31,7 @@
 	}
 	stop := f.generateLoad(50, func() *http.Request { return f.streamRequest(path, 3) })
 	e := f.busiest(endpoints)
-	e.Say(says)
+	e.SetSignals(says)
 	return f, e, time.Now(), stop
 }
 
@@ -56,16 +56,16 @@
 	for path, endpoints := range endpointsByPath() {
 		t.Run(path, func(t *testing.T) {
 			t.Parallel()
-			f, e, _, stop := sayUnderLoad(t, path, []string{"north"}, endpoints, site.Says{Rest: rest})
+			f, e, _, stop := sayUnderLoad(t, path, []string{"north"}, endpoints, site.Signals{RetryAfter: rest})
 			before := len(e.Arrived())
 			f.eventually(func() bool { return len(e.Arrived()) > before })
 			asked := e.Arrived()[before]
 			f.eventually(func() bool { return time.Since(asked) > 2*rest+time.Second })
 			arrivals := e.Arrived()[before:]
-			e.Say(site.Says{})
+			e.SetSignals(site.Signals{})
 			f.eventually(func() bool { return len(e.Arrived()) > before+len(arrivals)+5 }) // it is used again
 			answers := stop()
-			require.LessOrEqual(t, site.MostWithinRest(arrivals, rest), site.RestSlack, "of %d", len(arrivals))
+			require.LessOrEqual(t, site.MaxWithinBackoff(arrivals, rest), site.RetryAfterSlack, "of %d", len(arrivals))
 			requireMostServed(t, answers)
 		})
 	}
@@ -78,11 +78,11 @@
 	for path, endpoints := range endpointsByPath() {
 		t.Run(path, func(t *testing.T) {
 			t.Parallel()
-			f, e, said, stop := sayUnderLoad(t, path, []string{"north"}, endpoints, site.Says{Leaving: true})
-			f.eventually(func() bool { return time.Since(said) > site.LeavingHeard+2*time.Second })
+			f, e, said, stop := sayUnderLoad(t, path, []string{"north"}, endpoints, site.Signals{Leaving: true})
+			f.eventually(func() bool { return time.Since(said) > site.LeavingGrace+2*time.Second })
 			requireMostServed(t, stop())
 			last := e.Arrived()[len(e.Arrived())-1]
-			require.Less(t, last.Sub(said), site.LeavingHeard)
+			require.Less(t, last.Sub(said), site.LeavingGrace)
 		})
 	}
 }
--- a/role/gateway/share_test.go
+++ b/role/gateway/share_test.go
@@ -98,11 +98,11 @@
 	w := newFixture(t, plain("a"))
 	announced := func() []string { return w.site.Store.Keys("grademill/gateways/") }
 	w.eventually(func() bool { return len(announced()) == 1 })
-	w.site.Store.Break(func(*http.Request) site.Fault { return site.Fault{Status: http.StatusServiceUnavailable} })
+	w.site.Store.SetFaults(func(*http.Request) site.Fault { return site.Fault{Status: http.StatusServiceUnavailable} })
 	w.eventually(func() bool { return !w.gateway.Ready() })
 	time.Sleep(7 * time.Second)
 	require.Len(t, announced(), 1)
-	w.site.Store.Break(nil)
+	w.site.Store.SetFaults(nil)
 	w.eventually(w.gateway.Ready)
 	time.Sleep(3 * time.Second) // longer than the interval between two checks
 	require.Len(t, announced(), 1)
@@ -132,7 +132,7 @@
 	for i := range 60 { // more than a page holds
 		w.site.Store.SetText(fmt.Sprint("other/", i), nil)
 	}
-	w.site.Store.Age()
+	w.site.Store.FreezeStaleReads()
 	w.site.Store.SetText("other/last", nil) // the stale pages do not show this key
 	store := &countingStore{next: w.site.Store}
 	server := httptest.NewServer(store)
--- a/role/gateway/spared_test.go
+++ b/role/gateway/spared_test.go
@@ -23,7 +23,7 @@
 	f := newFleetInHalls(t, halls, endpoints...)
 	f.eventually(func() bool { return covered(endpoints, len(halls)) })
 	f.waitForLayers(endpoints...)
-	f.site.Doom(poison)
+	f.site.CrashOn(poison)
 	stop := f.generateLoad(20, func() *http.Request { return f.streamRequest("/plan/1", 3) })
 	uncovered := 0
 	for arrival := range 12 {
@@ -31,14 +31,14 @@
 		r.Header.Set("X-Token-Usage", "10,3")
 		r.Header.Set("X-Deadline-Ms", "300")
 		f.do(r)
-		live := slices.DeleteFunc(slices.Clone(endpoints), func(e *site.Endpoint) bool { return slices.Contains(f.site.Ended(), e) })
+		live := slices.DeleteFunc(slices.Clone(endpoints), func(e *site.Endpoint) bool { return slices.Contains(f.site.Crashed(), e) })
 		if !covered(live, 1) {
 			uncovered++
 		}
 		time.Sleep(arrivalInterval)
 	}
 	answers := stop()
-	t.Logf("%d ended, %d checks without a chain, %v", len(f.site.Ended()), uncovered, answers)
-	require.NotEmpty(t, f.site.Ended())
+	t.Logf("%d ended, %d checks without a chain, %v", len(f.site.Crashed()), uncovered, answers)
+	require.NotEmpty(t, f.site.Crashed())
 	require.Zero(t, uncovered, "an endpoint with the first layers is always left")
 }
--- a/role/gateway/store_test.go
+++ b/role/gateway/store_test.go
@@ -36,7 +36,7 @@
 	e := plain("a")
 	w := newFixture(t, e)
 	begun := time.Now()
-	w.site.Store.Break(func(*http.Request) site.Fault { return site.Fault{Silent: true} })
+	w.site.Store.SetFaults(func(*http.Request) site.Fault { return site.Fault{Silent: true} })
 	var last time.Time
 	w.eventually(func() bool {
 		r := w.request("POST", "/renew/", "x")
@@ -52,7 +52,7 @@
 	require.Less(t, last.Sub(begun), w.gateway.Revocation)
 	require.False(t, w.gateway.Ready())
 	require.Equal(t, http.StatusOK, w.do(w.request("GET", "/open/", "")).StatusCode)
-	w.site.Store.Break(nil)
+	w.site.Store.SetFaults(nil)
 	w.eventually(func() bool { return w.do(w.request("POST", "/renew/", "x")).StatusCode == http.StatusOK })
 }
 
@@ -69,7 +69,7 @@
 				g.Clock = func() time.Time { return hostclock.Now().Add(time.Duration(ahead.Load())) }
 			}, e)
 			w.eventually(func() bool { return w.do(w.request("POST", "/renew/", "x")).StatusCode == http.StatusOK })
-			w.site.Store.Break(func(*http.Request) site.Fault { return site.Fault{Silent: true} })
+			w.site.Store.SetFaults(func(*http.Request) site.Fault { return site.Fault{Silent: true} })
 			ahead.Store(int64(suspended))
 			r := w.request("POST", "/renew/", "x")
 			answer := w.do(r)
@@ -80,7 +80,7 @@
 			requireNotRun(t, answer, r.Header.Get("X-Request-Id"), e)
 			require.False(t, w.gateway.Ready())
 			require.Equal(t, http.StatusOK, w.do(w.request("GET", "/open/", "")).StatusCode, "without a key")
-			w.site.Store.Break(nil)
+			w.site.Store.SetFaults(nil)
 			w.eventually(func() bool { return w.do(w.request("POST", "/renew/", "x")).StatusCode == http.StatusOK })
 		})
 	}
@@ -94,7 +94,7 @@
 	w := newFixture(t, e)
 	unbound := w.startWith("gateway-2", w.site.StoreAddress, func(g *gateway.Gateway) { g.Revocation = 0 })
 	w.eventually(unbound.Ready)
-	w.site.Store.Break(func(*http.Request) site.Fault { return site.Fault{Silent: true} })
+	w.site.Store.SetFaults(func(*http.Request) site.Fault { return site.Fault{Silent: true} })
 	w.configure(false)
 	refused := func() bool {
 		return w.do(w.request("POST", "/renew/", "x")).StatusCode == http.StatusServiceUnavailable
@@ -178,7 +178,7 @@
 	second := w.start("gateway-2")
 	w.eventually(second.Ready)
 	w.eventually(func() bool { return len(w.site.Store.Keys("grademill/gateways/")) == 2 })
-	w.site.Store.Break(func(*http.Request) site.Fault { return site.Fault{Status: http.StatusServiceUnavailable} })
+	w.site.Store.SetFaults(func(*http.Request) site.Fault { return site.Fault{Status: http.StatusServiceUnavailable} })
 	w.eventually(func() bool { return !second.Ready() && !w.gateway.Ready() })
 	require.NotContains(t, w.log.String(), `"apart":true`)
 }
@@ -215,7 +215,7 @@
 		w.site.Store.Set(fmt.Sprint("servers/later-", i), site.Record{Service: "another", Addr: "127.0.0.1:1"})
 	}
 	w.waitForLayers(cards...)
-	w.site.Store.Break(func(r *http.Request) site.Fault {
+	w.site.Store.SetFaults(func(r *http.Request) site.Fault {
 		return site.Fault{Silent: strings.HasPrefix(r.URL.Path, "/-/kv-range") && r.URL.Query().Get("after_rev") != ""}
 	})
 	second := w.start("gateway-2")
@@ -224,7 +224,7 @@
 	require.False(t, second.Ready(), "gateways that have read everything are preferred")
 	r := w.request("POST", "/renew/", "x")
 	requireNotRun(t, w.do(r), r.Header.Get("X-Request-Id"), cards...)
-	w.site.Store.Break(nil)
+	w.site.Store.SetFaults(nil)
 	w.eventually(second.Ready)
 }
 
@@ -246,7 +246,7 @@
 	t.Parallel()
 	a, b := plain("a"), plain("b")
 	w := newFixture(t, a, b)
-	w.site.Store.Break(func(r *http.Request) site.Fault {
+	w.site.Store.SetFaults(func(r *http.Request) site.Fault {
 		if strings.HasPrefix(r.URL.Path, "/-/kv-watch") {
 			return site.Fault{Status: http.StatusServiceUnavailable}
 		}
@@ -255,7 +255,7 @@
 	w.waitForLog("the store does not answer")
 	w.site.Withdraw(a)
 	w.site.Store.Compact()
-	w.site.Store.Break(nil)
+	w.site.Store.SetFaults(nil)
 	w.waitForLog("the store forgot its history")
 	w.waitForLog(`"endpoint":"a","message":"endpoint gone"`)
 	before := len(a.Seen())
@@ -267,7 +267,7 @@
 func TestNothingIsRejectedWithoutAConfiguration(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t, plain("a"))
-	w.site.Store.Break(func(*http.Request) site.Fault { return site.Fault{Silent: true} })
+	w.site.Store.SetFaults(func(*http.Request) site.Fault { return site.Fault{Silent: true} })
 	other := w.start("gateway-2")
 	require.False(t, other.Ready())
 	w.target = w.serve(other)
@@ -299,7 +299,7 @@
 	w.eventually(second.Ready)
 	w.eventually(func() bool { return len(w.site.Store.Keys("grademill/gateways/")) == 2 })
 	answer, _, later := w.startStream(cards, 200)
-	later[0].Kill()
+	later[0].Silence()
 	w.waitForLog("endpoint holds requests up")
 	w.readRest(answer)
 	w.target = w.serve(second)
@@ -354,7 +354,7 @@
 		stores[1].delay.Store(int64(700 * time.Millisecond))
 		return stores[0].sinceQuery() > 800*time.Millisecond && stores[1].sinceQuery() < 150*time.Millisecond
 	})
-	w.site.Store.Break(func(*http.Request) site.Fault { return site.Fault{Status: http.StatusServiceUnavailable} })
+	w.site.Store.SetFaults(func(*http.Request) site.Fault { return site.Fault{Status: http.StatusServiceUnavailable} })
 	w.eventually(func() bool { return !all[0].Ready() && !all[1].Ready() && !all[2].Ready() })
 	require.NotContains(t, w.log.String(), `"apart":true`)
 }
@@ -380,7 +380,7 @@
 		w.eventually(func() bool { return second.queriedAt.Load() != last })
 	}
 	before := len(w.log.String()) // the delay alone may have made the second gateway send callers away
-	w.site.Store.Break(func(*http.Request) site.Fault { return site.Fault{Silent: true} })
+	w.site.Store.SetFaults(func(*http.Request) site.Fault { return site.Fault{Silent: true} })
 	w.eventually(func() bool { return !w.gateway.Ready() && !other.Ready() })
 	require.NotContains(t, w.log.String()[before:], `"apart":true`)
 }
@@ -392,7 +392,7 @@
 	t.Parallel()
 	w := newFixture(t, plain("a"))
 	send := w.digestSender()
-	w.site.Store.Break(func(*http.Request) site.Fault { return site.Fault{Status: http.StatusServiceUnavailable} })
+	w.site.Store.SetFaults(func(*http.Request) site.Fault { return site.Fault{Status: http.StatusServiceUnavailable} })
 	proven := time.Now()
 	for number := uint64(1); w.gateway.Ready(); number++ {
 		const underWay = 1200 * time.Millisecond // longer than the gateway takes to detect the loss
--- a/role/gateway/stream_test.go
+++ b/role/gateway/stream_test.go
@@ -16,7 +16,7 @@
 
 // card returns an endpoint of the model without layers.
 func card(id, hall string) *site.Endpoint {
-	return &site.Endpoint{ID: id, Service: model, Hall: hall, Card: "big", EventEvery: 5 * time.Millisecond}
+	return &site.Endpoint{ID: id, Service: model, Hall: hall, Card: "big", EventInterval: 5 * time.Millisecond}
 }
 
 // newModel starts a fixture with four cards in the gateway's hall that hold each layer twice.
@@ -96,7 +96,7 @@
 // requireLayersInOrder checks that every chain that was sent ran each layer exactly once and in order.
 func requireLayersInOrder(t *testing.T, w *fixture) {
 	t.Helper()
-	require.Empty(t, w.site.Faults())
+	require.Empty(t, w.site.InvalidChains())
 }
 
 func TestLeaderPlacesLayersAndStreamIsServed(t *testing.T) {
@@ -116,7 +116,7 @@
 func TestBrokenStreamGoesOnAfterTheLastWholeEvent(t *testing.T) {
 	t.Parallel()
 	w, _ := newModel(t)
-	w.site.Next(model, site.Cut)
+	w.site.NextModes(model, site.Cut)
 	answer := w.do(w.streamRequest("/plan/1", 20))
 	require.False(t, answer.cut)
 	require.Equal(t, fullBody(20), answer.body)
@@ -128,7 +128,7 @@
 func TestBrokenStreamThatMayNotRunAgainIsCut(t *testing.T) {
 	t.Parallel()
 	w, cards := newModel(t)
-	w.site.Next(model, site.Cut)
+	w.site.NextModes(model, site.Cut)
 	r := w.streamRequest("/once/1", 20)
 	answer := w.do(r)
 	require.True(t, answer.cut)
@@ -207,7 +207,7 @@
 			w.site.Stop(c)
 			continue
 		}
-		c.Stay(site.Refuse)
+		c.SetMode(site.Refuse)
 	}
 	arrivals := func() (n int) {
 		for _, c := range cards {
@@ -221,7 +221,7 @@
 	}
 	w.eventually(func() bool { return arrivals() > refusals })
 	for _, c := range cards {
-		c.Stay(site.Serve)
+		c.SetMode(site.Serve)
 	}
 	require.Equal(t, fullBody(events), w.readRest(answer))
 	requireLayersInOrder(t, w)
@@ -232,7 +232,7 @@
 	t.Parallel()
 	w, cards := newModel(t)
 	answer, r, later := w.startStream(cards, 200)
-	later[0].Kill()
+	later[0].Silence()
 	require.Equal(t, fullBody(200), w.readRest(answer))
 	require.Contains(t, endLine(t, w, r.Header.Get("X-Request-Id")), "moved: ")
 	requireLayersInOrder(t, w)
@@ -306,7 +306,7 @@
 		}
 	}
 	w.waitForLog("endpoint gone")
-	later[0].Kill()
+	later[0].Silence()
 	require.Equal(t, fullBody(400), w.readRest(answer))
 	requireLayersInOrder(t, w)
 }
@@ -318,7 +318,7 @@
 	answer, _, _ := w.startStream(cards, 200)
 	for _, c := range cards {
 		if c.Running() > 0 {
-			c.Kill()
+			c.Silence()
 		}
 	}
 	require.Equal(t, fullBody(200), w.readRest(answer))
@@ -379,7 +379,7 @@
 	w.eventually(func() bool {
 		left := 0
 		for _, c := range cards {
-			left += c.Left()
+			left += c.Disconnects()
 		}
 		return left == 1
 	})
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -61,8 +61,8 @@
 	LoadTime time.Duration
 	// Sleep waits for a duration; nil means time.Sleep.
 	Sleep func(time.Duration)
-	// Keep is whether the engine records its runs.
-	Keep bool
+	// KeepRuns is whether the engine records its runs.
+	KeepRuns bool
 
 	device sync.Mutex // held while a batch runs
 	freeAt time.Time  // when the device ends or ended its last batch
@@ -285,7 +285,7 @@
 }
 
 func (e *Engine) recordStep(s *wire.EngineStep, output *wire.EngineOutput) {
-	if !e.Keep {
+	if !e.KeepRuns {
 		return
 	}
 	e.record = append(e.record, Run{
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -49,8 +49,8 @@
 // Store is the stand-in for the key-value service and the list of hosts. The zero
 // Store is empty and ready to use.
 type Store struct {
-	// Lag is the delay before a change of the host list becomes visible.
-	Lag time.Duration
+	// HostsDelay is the delay before a change of the host list becomes visible.
+	HostsDelay time.Duration
 
 	mu        sync.Mutex
 	revision  uint64
@@ -96,7 +96,7 @@
 	defer s.mu.Unlock()
 	s.previous = s.visible()
 	s.hosts = list
-	s.visibleAt = time.Now().Add(s.Lag)
+	s.visibleAt = time.Now().Add(s.HostsDelay)
 }
 
 // Hosts returns the list of hosts that is visible now.
--- a/standin/site/endpoint.go
+++ b/standin/site/endpoint.go
@@ -42,17 +42,17 @@
 // passed to Site.Start or Site.Open.
 type Endpoint struct {
 	ID string
-	// Born is when the endpoint started, in milliseconds of Unix time; 0 if its record and
+	// Started is when the endpoint started, in milliseconds of Unix time; 0 if its record and
 	// reports omit it.
-	Born    int64
+	Started int64
 	Service string
 	Hall    string
 	// Card is the kind of accelerator, empty for a plain endpoint.
 	Card string
 	// Slots is the number of concurrent requests given in the endpoint's record; 0 for 64.
 	Slots int
-	// EventEvery is the interval between two events of a stream.
-	EventEvery time.Duration
+	// EventInterval is the interval between two events of a stream.
+	EventInterval time.Duration
 	// ReportLag is how long a stream must have stalled before a report shows it.
 	ReportLag time.Duration
 	// Site gives access to the other endpoints; Site.Open sets it.
@@ -81,7 +81,7 @@
 	orders  uint64
 	fence   uint64
 	// signals is what the endpoint reports in its answers, and limitSentAt when it first sent the limit.
-	signals     Says
+	signals     Signals
 	limitSentAt time.Time
 	// disconnects counts the requests whose caller closed the connection while they ran.
 	disconnects int
@@ -95,31 +95,31 @@
 	return e.address
 }
 
-// Stay sets the mode of all further requests for which Site.Next has set none.
-func (e *Endpoint) Stay(mode Mode) {
+// SetMode sets the mode of all further requests for which Site.Next has set none.
+func (e *Endpoint) SetMode(mode Mode) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.mode = mode
 }
 
-// Next returns the next incarnation of the endpoint, with the same ID and none of the state.
-func (e *Endpoint) Next() *Endpoint {
+// NextIncarnation returns the next incarnation of the endpoint, with the same ID and none of the state.
+func (e *Endpoint) NextIncarnation() *Endpoint {
 	return &Endpoint{
-		ID: e.ID, Born: e.BornAt() + 1, Service: e.Service, Hall: e.Hall, Card: e.Card, Slots: e.Slots,
-		EventEvery: e.EventEvery, ReportLag: e.ReportLag,
+		ID: e.ID, Started: e.StartedAt() + 1, Service: e.Service, Hall: e.Hall, Card: e.Card, Slots: e.Slots,
+		EventInterval: e.EventInterval, ReportLag: e.ReportLag,
 	}
 }
 
-// BornAt returns when the endpoint started, by its own account, in milliseconds of Unix time.
-func (e *Endpoint) BornAt() int64 {
+// StartedAt returns when the endpoint started, by its own account, in milliseconds of Unix time.
+func (e *Endpoint) StartedAt() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.Born
+	return e.Started
 }
 
-// Kill makes the endpoint unresponsive: it answers nothing, and the streams that
+// Silence makes the endpoint unresponsive: it answers nothing, and the streams that
 // pass through it stall.
-func (e *Endpoint) Kill() {
+func (e *Endpoint) Silence() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dead = true
@@ -153,8 +153,8 @@
 	return append([]time.Time(nil), e.arrived...)
 }
 
-// Left returns how many callers closed the connection while their request ran.
-func (e *Endpoint) Left() int {
+// Disconnects returns how many callers closed the connection while their request ran.
+func (e *Endpoint) Disconnects() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.disconnects
--- a/standin/site/model.go
+++ b/standin/site/model.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// StallTime is how long a stream waits for a dead endpoint before its connection is aborted.
-const StallTime = 3 * time.Second
+// StallTimeout is how long a stream waits for a dead endpoint before its connection is aborted.
+const StallTimeout = 3 * time.Second
 
 // Event returns the text of the n-th event of a stream.
 func Event(n int) string {
@@ -92,7 +92,7 @@
 func (e *Endpoint) wait(r *http.Request, id string) bool {
 	const poll = 5 * time.Millisecond
 	stalled := time.Duration(0)
-	time.Sleep(e.EventEvery)
+	time.Sleep(e.EventInterval)
 	for r.Context().Err() == nil {
 		if e.isDead() {
 			<-r.Context().Done()
@@ -104,7 +104,7 @@
 		}
 		e.recordStall(id, true)
 		time.Sleep(poll)
-		if stalled += poll; stalled > StallTime {
+		if stalled += poll; stalled > StallTimeout {
 			return false
 		}
 	}
@@ -121,7 +121,7 @@
 		if p.address == e.Address() {
 			continue
 		}
-		if other := e.Site.endpointAt(p.address); other == nil || other.isDead() || other.BornAt() != p.born {
+		if other := e.Site.endpointAt(p.address); other == nil || other.isDead() || other.StartedAt() != p.born {
 			return p.address
 		}
 	}
@@ -172,7 +172,7 @@
 	}
 	for i, p := range chain {
 		if other := e.Site.endpointAt(p.address); other != nil && other != e {
-			chain[i].born = other.BornAt()
+			chain[i].born = other.StartedAt()
 		}
 	}
 	e.running[id] = chain
@@ -189,8 +189,8 @@
 		"busy_slots": false, "seq": e.orders, "active": len(ids), "pace": 1,
 		"layers": map[string]int{"from": e.layers[0], "to_version": e.layers[1], "version": 1},
 	}
-	if e.Born != 0 {
-		doc["born"] = e.Born
+	if e.Started != 0 {
+		doc["born"] = e.Started
 	}
 	e.mu.Unlock()
 	var stalled []map[string]string
@@ -256,8 +256,8 @@
 func (e *Endpoint) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.Born != 0 {
-		e.Born++
+	if e.Started != 0 {
+		e.Started++
 	}
 	e.layers, e.orders, e.fence = [2]int{}, 0, 0
 }
--- a/standin/site/says.go
+++ b/standin/site/says.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// Says is what an endpoint reports about itself in the headers of its answers.
-type Says struct {
+// Signals is what an endpoint reports about itself in the headers of its answers.
+type Signals struct {
 	// Limit is the number of requests a second that the endpoint accepts from all gateways
 	// together; 0 sends no limit. If Above is set, the endpoint sends the limit only while it
 	// runs more than Above streams.
 	Limit float64
 	Above int
-	// Rest is the backoff period: the endpoint refuses every request and asks with Retry-After
+	// RetryAfter is the backoff period: the endpoint refuses every request and asks with Retry-After
 	// for this delay; 0 for none.
-	Rest time.Duration
+	RetryAfter time.Duration
 	// Leaving is whether the endpoint announces that it is about to end.
 	Leaving bool
 }
 
-// Say sets what the endpoint reports in its answers from now on.
-func (e *Endpoint) Say(s Says) {
+// SetSignals sets what the endpoint reports in its answers from now on.
+func (e *Endpoint) SetSignals(s Signals) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.signals, e.limitSentAt = s, time.Time{}
 }
 
-// Saying returns what the endpoint reports in its answers.
-func (e *Endpoint) Saying() Says {
+// Signals returns what the endpoint reports in its answers.
+func (e *Endpoint) Signals() Signals {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.signals
 }
 
-// NamedAt returns when the endpoint first sent the limit set by the latest Say; zero if it has not
+// LimitSentAt returns when the endpoint first sent the limit set by the latest Say; zero if it has not
 // sent it.
-func (e *Endpoint) NamedAt() time.Time {
+func (e *Endpoint) LimitSentAt() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.limitSentAt
@@ -57,18 +57,18 @@
 	if s.Leaving {
 		h.Set("Server-Leaving", "1")
 	}
-	if s.Rest > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(s.Rest.Seconds(), 'f', -1, 64))
+	if s.RetryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(s.RetryAfter.Seconds(), 'f', -1, 64))
 	}
-	return s.Rest > 0
+	return s.RetryAfter > 0
 }
 
 // LimitSpan is the time window in which an endpoint that sends a limit may get at most Allowed
-// requests. The rule holds from LimitHeard after the endpoint first sent the limit, by when all
+// requests. The rule holds from LimitGrace after the endpoint first sent the limit, by when all
 // gateways must have learnt of it.
 const (
 	LimitSpan  = 4 * time.Second
-	LimitHeard = 3 * time.Second
+	LimitGrace = 3 * time.Second
 )
 
 // Allowed returns the largest number of requests that an endpoint with a limit of so many requests a
@@ -77,23 +77,23 @@
 	return int(1.5*limit*LimitSpan.Seconds()) + 5
 }
 
-// An endpoint that has asked for a backoff period may get at most RestSlack requests between RestHeard
+// An endpoint that has asked for a backoff period may get at most RetryAfterSlack requests between RetryAfterGrace
 // after it asked and the end of the period. An endpoint that has announced that it is leaving may get
-// requests for at most LeavingHeard after that.
+// requests for at most LeavingGrace after that.
 const (
-	RestHeard    = 500 * time.Millisecond
-	RestSlack    = 2
-	LeavingHeard = 2 * time.Second
+	RetryAfterGrace = 500 * time.Millisecond
+	RetryAfterSlack = 2
+	LeavingGrace    = 2 * time.Second
 )
 
-// MostWithinRest returns the largest number of requests that arrived in one backoff period, not counting
+// MaxWithinBackoff returns the largest number of requests that arrived in one backoff period, not counting
 // those within RestHeard of its start. Each of times, in ascending order, begins a period of length rest.
-func MostWithinRest(times []time.Time, rest time.Duration) int {
+func MaxWithinBackoff(times []time.Time, rest time.Duration) int {
 	most := 0
 	for i, asked := range times {
 		n := 0
 		for _, at := range times[i+1:] {
-			if d := at.Sub(asked); d > RestHeard && d < rest {
+			if d := at.Sub(asked); d > RetryAfterGrace && d < rest {
 				n++
 			}
 		}
@@ -102,8 +102,8 @@
 	return most
 }
 
-// MostWithin returns the largest number of times, which are in ascending order, that lie within one span.
-func MostWithin(times []time.Time, span time.Duration) int {
+// MaxWithin returns the largest number of times, which are in ascending order, that lie within one span.
+func MaxWithin(times []time.Time, span time.Duration) int {
 	most, first := 0, 0
 	for i, at := range times {
 		for at.Sub(times[first]) >= span {
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -16,11 +16,11 @@
 	StoreAddress string
 	// Layers is the number of layers of the model.
 	Layers int
-	// Dark makes endpoints stop answering under requests marked by Doom, like a host that loses
+	// CrashSilently makes endpoints stop answering under requests marked by Doom, like a host that loses
 	// power, instead of refusing connections.
-	Dark bool
-	// Ending, if set, is called before an endpoint ends under a request marked by Doom.
-	Ending func(*Endpoint)
+	CrashSilently bool
+	// BeforeCrash, if set, is called before an endpoint ends under a request marked by Doom.
+	BeforeCrash func(*Endpoint)
 
 	mu sync.Mutex // guards what follows
 	// endpoints holds the announced endpoints by address.
@@ -70,7 +70,7 @@
 	if err := s.Open(e); err != nil {
 		return err
 	}
-	s.Enter(e)
+	s.Register(e)
 	return nil
 }
 
@@ -93,9 +93,9 @@
 	}
 }
 
-// Doom makes every request with this body end the endpoint that begins to run it, as the first stage
+// CrashOn makes every request with this body end the endpoint that begins to run it, as the first stage
 // of a chain or as a plain endpoint. The endpoint's record stays in the store.
-func (s *Site) Doom(body string) {
+func (s *Site) CrashOn(body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.crashes == nil {
@@ -104,8 +104,8 @@
 	s.crashes[body] = true
 }
 
-// DoomMoved makes every request with this body end the endpoints to which it is moved.
-func (s *Site) DoomMoved(body string) {
+// CrashOnMove makes every request with this body end the endpoints to which it is moved.
+func (s *Site) CrashOnMove(body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.crashesMoved = map[string]bool{body: true}
@@ -126,14 +126,14 @@
 		}
 		s.mu.Unlock()
 		if crashes {
-			e.Kill()
+			e.Silence()
 			s.Stop(e)
 		}
 	}
 }
 
-// Ended returns the endpoints that have ended under requests marked by Doom or DoomMoved.
-func (s *Site) Ended() []*Endpoint {
+// Crashed returns the endpoints that have ended under requests marked by Doom or DoomMoved.
+func (s *Site) Crashed() []*Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*Endpoint(nil), s.crashed...)
@@ -148,11 +148,11 @@
 	}
 	s.mu.Unlock()
 	if crashes {
-		if s.Ending != nil {
-			s.Ending(e)
+		if s.BeforeCrash != nil {
+			s.BeforeCrash(e)
 		}
-		e.Kill()
-		if s.Dark {
+		e.Silence()
+		if s.CrashSilently {
 			return // requests that run there hang
 		}
 		s.Stop(e)
@@ -160,17 +160,17 @@
 	}
 }
 
-// Enter registers an endpoint opened by Open and writes its record to the store.
-func (s *Site) Enter(e *Endpoint) {
+// Register registers an endpoint opened by Open and writes its record to the store.
+func (s *Site) Register(e *Endpoint) {
 	s.mu.Lock()
 	s.endpoints[e.Address()] = e
 	s.mu.Unlock()
 	s.Announce(e)
 }
 
-// Next sets the modes of the next requests that arrive at any endpoint of a
+// NextModes sets the modes of the next requests that arrive at any endpoint of a
 // service, in the order of their arrival.
-func (s *Site) Next(service string, modes ...Mode) {
+func (s *Site) NextModes(service string, modes ...Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.modes == nil {
@@ -223,7 +223,7 @@
 func (s *Site) Withdraw(e *Endpoint) { s.Store.Remove("servers/" + e.ID) }
 
 func (s *Site) announce(e *Endpoint, state string) {
-	r := Record{Service: e.Service, Addr: e.Address(), Zone: e.Hall, Slots: cmp.Or(e.Slots, defaultSlots), State: state, Kind: e.Card, Born: e.BornAt(), Version: "v1"}
+	r := Record{Service: e.Service, Addr: e.Address(), Zone: e.Hall, Slots: cmp.Or(e.Slots, defaultSlots), State: state, Kind: e.Card, Born: e.StartedAt(), Version: "v1"}
 	if e.Card != "" {
 		from, to := e.Layers()
 		r.Layers = map[string]int{"from": from, "to_version": to, "version": 1}
@@ -273,8 +273,8 @@
 	}
 }
 
-// Faults returns the chains that did not run each layer once and in order.
-func (s *Site) Faults() []string {
+// InvalidChains returns the chains that did not run each layer once and in order.
+func (s *Site) InvalidChains() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.faults...)
--- a/standin/site/store.go
+++ b/standin/site/store.go
@@ -28,8 +28,8 @@
 type Fault struct {
 	// Status, if not 0, is the status with which the call is refused without effect.
 	Status int
-	// Silent gives no answer. The call has no effect, unless Lost is set.
-	Silent, Lost bool
+	// Silent gives no answer. The call has no effect, unless Applied is set.
+	Silent, Applied bool
 	// Delay is added before the call.
 	Delay time.Duration
 }
@@ -120,16 +120,16 @@
 	s.notifyWatches()
 }
 
-// Age makes stale reads return the present content from now on.
-func (s *Store) Age() {
+// FreezeStaleReads makes stale reads return the present content from now on.
+func (s *Store) FreezeStaleReads() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.staleItems, s.staleRev = maps.Clone(s.items), s.rev
 }
 
-// Break sets the function that returns the fault for each call from now on; nil
+// SetFaults sets the function that returns the fault for each call from now on; nil
 // for no faults.
-func (s *Store) Break(fault func(*http.Request) Fault) {
+func (s *Store) SetFaults(fault func(*http.Request) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = fault
@@ -162,7 +162,7 @@
 	case fault.Status != 0:
 		w.WriteHeader(fault.Status)
 		return
-	case fault.Silent && !fault.Lost:
+	case fault.Silent && !fault.Applied:
 		hang(r)
 		return
 	}
--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -24,7 +24,7 @@
 
 // check compares the responses that callers received with the runs that endpoints recorded.
 func (w *world) check(c *callers, recovered time.Time) {
-	assert.Empty(w.t, w.backends.site.Faults(), "each layer runs once and in order")
+	assert.Empty(w.t, w.backends.site.InvalidChains(), "each layer runs once and in order")
 	served, late := 0, 0
 	for _, s := range c.all {
 		runs := w.runs(s.id)
--- a/test/soak/site_test.go
+++ b/test/soak/site_test.go
@@ -70,7 +70,7 @@
 func (b *backends) add(service, hall string) {
 	b.mu.Lock()
 	b.started++
-	e := &site.Endpoint{ID: fmt.Sprintf("e%d", b.started), Born: 1, Service: service, Hall: hall, EventEvery: 15 * time.Millisecond}
+	e := &site.Endpoint{ID: fmt.Sprintf("e%d", b.started), Started: 1, Service: service, Hall: hall, EventInterval: 15 * time.Millisecond}
 	b.mu.Unlock()
 	if service == model {
 		e.Card, e.Slots = "big", b.slots
@@ -84,7 +84,7 @@
 	link, err := newProxy(e.Address())
 	require.NoError(b.t, err)
 	e.Public = link.address
-	b.site.Enter(e)
+	b.site.Register(e)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.all = append(b.all, e)
@@ -111,7 +111,7 @@
 // crash kills an endpoint without notice; its record expires later, and a new
 // endpoint replaces it.
 func (b *backends) crash(e *site.Endpoint) {
-	e.Kill()
+	e.Silence()
 	b.mu.Lock()
 	delete(b.live, e)
 	b.mu.Unlock()
@@ -126,7 +126,7 @@
 // crashOnBody makes a request with this body crash each endpoint that starts to run it. The
 // endpoint restarts with the same ID and without state.
 func (b *backends) crashOnBody(body string) {
-	b.site.Ending = func(e *site.Endpoint) {
+	b.site.BeforeCrash = func(e *site.Endpoint) {
 		b.mu.Lock()
 		link := b.live[e]
 		delete(b.live, e)
@@ -134,10 +134,10 @@
 		b.mu.Unlock()
 		if link != nil { // nil if the endpoint was removed before
 			link.refuse()
-			time.AfterFunc(restartDelay, func() { b.enter(e.Next()) })
+			time.AfterFunc(restartDelay, func() { b.enter(e.NextIncarnation()) })
 		}
 	}
-	b.site.Doom(body)
+	b.site.CrashOn(body)
 }
 
 // lateRecord is the largest delay of a record that was written before the departure and arrives after it.
@@ -154,7 +154,7 @@
 	b.left[e] = time.Now()
 	b.mu.Unlock()
 	if announced {
-		e.Say(site.Says{Leaving: true})
+		e.SetSignals(site.Signals{Leaving: true})
 		b.site.Leave(e)
 		time.AfterFunc(late, func() { b.site.Announce(e) })
 	} else {
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -289,8 +289,8 @@
 	}
 	mode := []site.Mode{site.Refuse, site.Fail, site.Lose, site.Cut, site.Unsigned, site.Twice, site.FailAsRefusal}[w.r.IntN(7)]
 	return func() {
-		e.Stay(mode)
+		e.SetMode(mode)
 		time.Sleep(lasts)
-		e.Stay(site.Serve)
+		e.SetMode(site.Serve)
 	}
 }
--- a/test/soak/words_test.go
+++ b/test/soak/words_test.go
@@ -16,7 +16,7 @@
 // overloadReport is a limit or backoff period that an endpoint asked for during a period.
 type overloadReport struct {
 	endpoint    *site.Endpoint
-	signals     site.Says
+	signals     site.Signals
 	from, until time.Time
 }
 
@@ -38,17 +38,17 @@
 		lasts := time.Duration(2+r.IntN(3)) * time.Second
 		switch r.IntN(3) {
 		case 0:
-			s.signals.Rest = time.Duration(1000+r.IntN(2000)) * time.Millisecond
+			s.signals.RetryAfter = time.Duration(1000+r.IntN(2000)) * time.Millisecond
 		case 1:
 			s.signals.Limit, s.signals.Above = 1+5*r.Float64(), 2
 		default:
 			s.signals.Limit = 0.2 + 5*r.Float64()
-			lasts = site.LimitHeard + site.LimitSpan
+			lasts = site.LimitGrace + site.LimitSpan
 		}
 		w.t.Logf("%s: %s reports %+v for %s", s.from.Format("15:04:05.000"), e.ID, s.signals, lasts)
-		e.Say(s.signals)
+		e.SetSignals(s.signals)
 		time.Sleep(lasts)
-		e.Say(site.Says{})
+		e.SetSignals(site.Signals{})
 		s.until = time.Now()
 		w.overloadReports = append(w.overloadReports, s)
 	}
@@ -64,14 +64,14 @@
 		if w.linkWasFaulty(s) {
 			continue
 		}
-		if s.signals.Rest > 0 {
+		if s.signals.RetryAfter > 0 {
 			w.checkBackoff(s, byID)
 		} else if s.signals.Above == 0 {
 			w.checkLimit(s, byID)
 		}
 	}
 	for e, left := range w.backends.left {
-		if e.Saying().Leaving { // otherwise only its record was withdrawn
+		if e.Signals().Leaving { // otherwise only its record was withdrawn
 			w.checkLeavingReport(e, left, byID)
 		}
 	}
@@ -121,14 +121,14 @@
 	var counted []time.Time
 	for _, a := range arrivals(s.endpoint, s.from, s.until, byID) {
 		known := reported[a.from]
-		if !known.IsZero() && a.arrived.After(known.Add(reportDelay)) && a.arrived.After(s.from.Add(site.LimitHeard)) {
+		if !known.IsZero() && a.arrived.After(known.Add(reportDelay)) && a.arrived.After(s.from.Add(site.LimitGrace)) {
 			counted = append(counted, a.arrived)
 		}
 		if known.IsZero() && a.passedOn() {
 			reported[a.from] = a.ended
 		}
 	}
-	most := site.MostWithin(counted, site.LimitSpan)
+	most := site.MaxWithin(counted, site.LimitSpan)
 	assert.LessOrEqual(w.t, most, site.Allowed(s.signals.Limit), "%s asked for at most %.2f requests per second", s.endpoint.ID, s.signals.Limit)
 	w.t.Logf("%s asked for at most %.2f requests per second and got %d, at most %d of them within one period", s.endpoint.ID, s.signals.Limit, len(counted), most)
 }
@@ -140,7 +140,7 @@
 		arrived[a.from] = append(arrived[a.from], a.arrived)
 	}
 	for from, times := range arrived {
-		assert.LessOrEqual(w.t, site.MostWithinRest(times, s.signals.Rest), site.RestSlack,
+		assert.LessOrEqual(w.t, site.MaxWithinBackoff(times, s.signals.RetryAfter), site.RetryAfterSlack,
 			"%s sent too many requests within a backoff period asked for by %s", from.node.name, s.endpoint.ID)
 	}
 }
@@ -154,7 +154,7 @@
 			continue
 		}
 		if known := reported[a.from]; !known.IsZero() {
-			assert.Less(w.t, a.at.Sub(known), site.LeavingHeard, "%s got %s from %s, which knew of its departure", e.ID, a.id, a.from.node.name)
+			assert.Less(w.t, a.at.Sub(known), site.LeavingGrace, "%s got %s from %s, which knew of its departure", e.ID, a.id, a.from.node.name)
 		} else if a.passedOn() {
 			reported[a.from] = a.ended
 		}
