--- a/adapter/callerhttp/write.go
+++ b/adapter/callerhttp/write.go
@@ -25,17 +25,17 @@
 
 // statuses maps codes to HTTP statuses; codes not listed map to 503.
 var statuses = map[outcome.Code]int{
-	outcome.BadRequest:       http.StatusBadRequest,
-	outcome.TooLarge:         http.StatusRequestEntityTooLarge,
-	outcome.Unauthorized:     http.StatusUnauthorized,
-	outcome.Forbidden:        http.StatusForbidden,
-	outcome.UnknownModel:     http.StatusNotFound,
-	outcome.Overloaded:       http.StatusTooManyRequests,
-	outcome.DeadlineExceeded: http.StatusGatewayTimeout,
-	outcome.Conflict:         http.StatusUnprocessableEntity,
-	outcome.Uncertain:        http.StatusBadGateway,
-	outcome.StageLost:        http.StatusBadGateway,
-	outcome.Internal:         http.StatusInternalServerError,
+	outcome.BadRequest:   http.StatusBadRequest,
+	outcome.TooLarge:     http.StatusRequestEntityTooLarge,
+	outcome.Unauthorized: http.StatusUnauthorized,
+	outcome.Forbidden:    http.StatusForbidden,
+	outcome.UnknownModel: http.StatusNotFound,
+	outcome.Overloaded:   http.StatusTooManyRequests,
+	outcome.DeadlineOver: http.StatusGatewayTimeout,
+	outcome.Conflict:     http.StatusUnprocessableEntity,
+	outcome.Uncertain:    http.StatusBadGateway,
+	outcome.StageLost:    http.StatusBadGateway,
+	outcome.Internal:     http.StatusInternalServerError,
 }
 
 // problemOf returns the response body for a report.
--- a/adapter/ingress/conn.go
+++ b/adapter/ingress/conn.go
@@ -87,9 +87,9 @@
 // a request head, at now.
 func (c *conn) overdue(l Limits, now time.Time) bool {
 	if headStarted := c.headStarted.Load(); headStarted != 0 {
-		return l.HeaderTimeout > 0 && now.UnixNano()-headStarted > int64(l.HeaderTimeout)
+		return l.ReadHeaderTimeout > 0 && now.UnixNano()-headStarted > int64(l.ReadHeaderTimeout)
 	}
-	return l.IdleTimeout > 0 && now.UnixNano()-c.idleSince.Load() > int64(l.IdleTimeout)
+	return l.MaxIdle > 0 && now.UnixNano()-c.idleSince.Load() > int64(l.MaxIdle)
 }
 
 // headSize returns the size in bytes of the recorded request head, or of all recorded bytes if
--- a/adapter/ingress/server.go
+++ b/adapter/ingress/server.go
@@ -29,11 +29,11 @@
 
 // Limits are the limits on callers' connections. A zero field means no limit.
 type Limits struct {
-	// IdleTimeout is the maximum time that a connection may be idle between requests.
-	IdleTimeout time.Duration
+	// MaxIdle is the maximum time that a connection may be idle between requests.
+	MaxIdle time.Duration
 	// MaxHeaderBytes is the maximum size of a request head, HeadWait the maximum time to read it.
-	MaxHeaderBytes int
-	HeaderTimeout  time.Duration
+	MaxHeaderBytes    int
+	ReadHeaderTimeout time.Duration
 }
 
 // sweepInterval is the interval between checks for overdue connections.
--- a/adapter/ingress/server_test.go
+++ b/adapter/ingress/server_test.go
@@ -140,7 +140,7 @@
 }
 
 func TestIdleTimeIsBounded(t *testing.T) {
-	s := start(t, http.NotFoundHandler(), ingress.Limits{IdleTimeout: 10 * time.Millisecond})
+	s := start(t, http.NotFoundHandler(), ingress.Limits{MaxIdle: 10 * time.Millisecond})
 	c, r := dial(t, s)
 	ask(t, c, r)
 	_, err := r.ReadByte()
@@ -192,7 +192,7 @@
 // A connection is closed if its request head takes longer than the limit, but not if no head
 // has started.
 func TestSlowHeadEndsTheConnection(t *testing.T) {
-	s := start(t, http.NotFoundHandler(), ingress.Limits{HeaderTimeout: 10 * time.Millisecond})
+	s := start(t, http.NotFoundHandler(), ingress.Limits{ReadHeaderTimeout: 10 * time.Millisecond})
 	idle, idleReader := dial(t, s)
 	slow, r := dial(t, s)
 	_, err := io.WriteString(slow, "GET / HTTP/1.1\r\nHo")
--- a/adapter/link/set.go
+++ b/adapter/link/set.go
@@ -69,8 +69,8 @@
 	s.queue(address, func(b *wire.Batch) { b.Heartbeats = append(b.Heartbeats, m) })
 }
 
-// Update queues an update for the process at address.
-func (s *Set) Update(address string, m *wire.News) {
+// News queues an update for the process at address.
+func (s *Set) News(address string, m *wire.News) {
 	s.queue(address, func(b *wire.Batch) { b.News = append(b.News, m) })
 }
 
--- a/adapter/listen/server.go
+++ b/adapter/listen/server.go
@@ -29,10 +29,10 @@
 type Server struct {
 	// Address is the TCP address to listen on.
 	Address string
-	// OnBatch is called with each frame of a step connection, in order.
-	OnBatch func(*wire.Batch)
-	// Methods holds the methods served on control connections.
-	Methods rpc.Methods
+	// Batch is called with each frame of a step connection, in order.
+	Batch func(*wire.Batch)
+	// Calls holds the methods served on control connections.
+	Calls rpc.Methods
 	// Log receives a line for each refused connection.
 	Log zerolog.Logger
 
@@ -124,7 +124,7 @@
 		err = s.steps(conn)
 	case rpc.Protocol:
 		_ = conn.SetReadDeadline(time.Time{})
-		rpc.Serve(ctx, conn, s.Methods)
+		rpc.Serve(ctx, conn, s.Calls)
 	default:
 		err = &frame.VersionError{Peer: uint32(first[0])}
 	}
@@ -149,7 +149,7 @@
 		if err != nil {
 			return badFrame(err)
 		}
-		s.OnBatch(batch)
+		s.Batch(batch)
 	}
 }
 
--- a/adapter/meter/gateway.go
+++ b/adapter/meter/gateway.go
@@ -136,14 +136,14 @@
 	m.endpoints.WithLabelValues("leaving").Set(float64(leaving))
 }
 
-// StoreRevision records the latest known store revision.
-func (m *Gateway) StoreRevision(revision uint64) { m.revision.Set(float64(revision)) }
+// Store records the latest known store revision.
+func (m *Gateway) Store(revision uint64) { m.revision.Set(float64(revision)) }
 
 // Order counts an order to an endpoint.
 func (m *Gateway) Order(result string) { m.orders.WithLabelValues(result).Inc() }
 
-// HeldBack counts a request that is held back from an endpoint.
-func (m *Gateway) HeldBack(reason string) { m.held.WithLabelValues(reason).Inc() }
+// Held counts a request that is held back from an endpoint.
+func (m *Gateway) Held(reason string) { m.held.WithLabelValues(reason).Inc() }
 
 // Quarantine counts an event of a request during which endpoints ended.
 func (m *Gateway) Quarantine(event string) { m.quarantine.WithLabelValues(event).Inc() }
--- a/adapter/probe/prober.go
+++ b/adapter/probe/prober.go
@@ -44,15 +44,15 @@
 	err       error
 }
 
-// Report returns the report of the endpoint at address; it asks the endpoint unless a recent
+// Query returns the report of the endpoint at address; it asks the endpoint unless a recent
 // report is known. The error is ErrHeldUp if it is uncertain whether the endpoint is alive.
-func (p *Prober) Report(ctx context.Context, address string) (runner.Report, error) {
-	return p.ReportSince(ctx, address, time.Time{})
+func (p *Prober) Query(ctx context.Context, address string) (runner.Report, error) {
+	return p.QuerySince(ctx, address, time.Time{})
 }
 
-// ReportSince is like Ask, but does not use the answer to a request sent before since, which
+// QuerySince is like Ask, but does not use the answer to a request sent before since, which
 // cannot show what has happened up to then.
-func (p *Prober) ReportSince(ctx context.Context, address string, since time.Time) (runner.Report, error) {
+func (p *Prober) QuerySince(ctx context.Context, address string, since time.Time) (runner.Report, error) {
 	entry := p.probeOf(address)
 	entry.mu.Lock()
 	defer entry.mu.Unlock()
--- a/adapter/probe/prober_test.go
+++ b/adapter/probe/prober_test.go
@@ -51,7 +51,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := probe.Prober{Control: control{causeHider: causeHider{time.Second}}, AwaitAnswer: c.silence}
-				_, err := p.Report(t.Context(), "endpoint")
+				_, err := p.Query(t.Context(), "endpoint")
 				require.ErrorIs(t, err, c.want)
 			})
 		})
@@ -122,7 +122,7 @@
 						}
 					},
 				}
-				_, err := p.Report(t.Context(), "endpoint")
+				_, err := p.Query(t.Context(), "endpoint")
 				require.ErrorIs(t, err, c.want)
 			})
 		})
@@ -149,7 +149,7 @@
 		c := new(counting)
 		p := probe.Prober{Control: c}
 		ask := func(since time.Time) {
-			_, err := p.ReportSince(t.Context(), "endpoint", since)
+			_, err := p.QuerySince(t.Context(), "endpoint", since)
 			require.NoError(t, err)
 		}
 		ask(time.Time{})
--- a/adapter/upstream/call.go
+++ b/adapter/upstream/call.go
@@ -69,12 +69,12 @@
 
 // Do sends a call and returns once the head of its response has been read. It closes the
 // connection when ctx ends. Errors are *SendError.
-func (p *Pool) Do(ctx context.Context, c Call) (*Response, error) {
+func (p *Pool) Do(ctx context.Context, c Call) (*Answer, error) {
 	connection, err := p.take(ctx, c.Address, c.MaxIdle)
 	if err != nil {
 		return nil, &SendError{Err: err}
 	}
-	a := &Response{pool: p, conn: connection, address: c.Address}
+	a := &Answer{pool: p, conn: connection, address: c.Address}
 	a.stop = context.AfterFunc(ctx, func() { _ = connection.Close() })
 	if c.BeforeWrite != nil {
 		c.BeforeWrite()
@@ -98,8 +98,8 @@
 	return err
 }
 
-// Response is a response whose body has not been read yet.
-type Response struct {
+// Answer is a response whose body has not been read yet.
+type Answer struct {
 	Status int
 	Header http.Header
 	// EndsAtClose is set if the body has no length and no chunks, so that only the end of the
@@ -121,7 +121,7 @@
 
 // write sends the request. It writes a long body concurrently with reading the response, which
 // may arrive before the body is complete.
-func (a *Response) write(c Call) error {
+func (a *Answer) write(c Call) error {
 	var b bytes.Buffer
 	b.Grow(1024 + min(len(c.Body), inlineBody))
 	b.WriteString(c.Method + " " + c.Target + " HTTP/1.1\r\nHost: " + c.Host + "\r\n")
@@ -148,7 +148,7 @@
 
 // writeBody writes a long body. A write error is not returned: it shows when the response is
 // read.
-func (a *Response) writeBody(body []byte) {
+func (a *Answer) writeBody(body []byte) {
 	if _, err := a.conn.Write(body); err == nil {
 		close(a.written)
 	}
@@ -156,7 +156,7 @@
 
 // readHead reads the head of the response to c, skipping interim responses and those to other
 // requests.
-func (a *Response) readHead(c Call) error {
+func (a *Answer) readHead(c Call) error {
 	request := &http.Request{Method: c.Method}
 	for stray := 0; ; {
 		response, err := http.ReadResponse(a.conn.reader, request)
@@ -181,7 +181,7 @@
 
 // accept stores the head of the response r. afterStray is set if a response to another request
 // came before it; the connection is not reused then.
-func (a *Response) accept(r *http.Response, afterStray bool) {
+func (a *Answer) accept(r *http.Response, afterStray bool) {
 	a.Status, a.Header, a.body = r.StatusCode, r.Header, r.Body
 	a.EndsAtClose = r.ContentLength < 0 && len(r.TransferEncoding) == 0
 	if !afterStray && !r.Close && !a.EndsAtClose {
@@ -208,7 +208,7 @@
 
 // Read reads the body. It returns io.EOF only at the body's proper end; a truncated body ends
 // with another error.
-func (a *Response) Read(b []byte) (int, error) {
+func (a *Answer) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	if err == io.EOF {
 		a.ended = true
@@ -217,14 +217,14 @@
 }
 
 // ReadAll reads the body, at most maxBody bytes of it.
-func (a *Response) ReadAll() ([]byte, error) {
+func (a *Answer) ReadAll() ([]byte, error) {
 	return io.ReadAll(io.LimitReader(a, maxBody))
 }
 
 // Close ends the call. It returns the connection to the pool if the request and response are
 // complete and the connection may be reused; otherwise it closes the connection, which tells
 // the endpoint to stop its work. Further calls do nothing.
-func (a *Response) Close() {
+func (a *Answer) Close() {
 	if a.stop == nil {
 		return
 	}
@@ -238,7 +238,7 @@
 	a.pool.put(a.address, a.conn, a.maxIdle)
 }
 
-func (a *Response) wrote() bool {
+func (a *Answer) wrote() bool {
 	select {
 	case <-a.written:
 		return true
--- a/adapter/watchhttp/watch.go
+++ b/adapter/watchhttp/watch.go
@@ -70,8 +70,8 @@
 // Unwrap returns watchcache.ErrRefused: the other gateway has received the request.
 func (e *RefusedError) Unwrap() error { return watchcache.ErrRefused }
 
-// Query implements watchcache.Source.
-func (c *Client) Query(ctx context.Context, address string, q watchcache.Request) (watchcache.Answer, error) {
+// Fetch implements watchcache.Source.
+func (c *Client) Fetch(ctx context.Context, address string, q watchcache.Request) (watchcache.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, q.Wait+callSlack)
 	defer cancel()
 	query := url.Values{
@@ -138,7 +138,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		answer, err := h.Query(r.Context(), q)
+		answer, err := h.Fetch(r.Context(), q)
 		switch {
 		case errors.Is(err, watchcache.ErrNotRetained):
 			http.Error(w, err.Error(), http.StatusGone)
--- a/cmd/grademill-gateway/daemon.go
+++ b/cmd/grademill-gateway/daemon.go
@@ -65,7 +65,7 @@
 	d.gateway = &gateway.Gateway{
 		Name: file.Name, Hall: file.Hall, Address: file.Address,
 		Store: platform.NewStore(s.Store, d.metrics.StoreCall),
-		Records: gateway.Decoders{
+		Decoders: gateway.Decoders{
 			Catalog: platform.ConfigKey, DecodeCatalog: platform.DecodeCatalog,
 			EndpointID: platform.EndpointID, DecodeEndpoint: platform.DecodeEndpoint,
 		},
@@ -179,7 +179,7 @@
 // callerLimits returns the configured limits on callers' connections.
 func (d *daemon) callerLimits() ingress.Limits {
 	l := d.gateway.CallerLimits()
-	return ingress.Limits{IdleTimeout: l.IdleTimeout, MaxHeaderBytes: l.MaxHeaderBytes, HeaderTimeout: l.HeaderTimeout}
+	return ingress.Limits{MaxIdle: l.IdleTimeout, MaxHeaderBytes: l.HeaderBytes, ReadHeaderTimeout: l.HeaderTimeout}
 }
 
 // errorLog forwards the error lines of an HTTP server to the process log.
--- a/cmd/grademill/roles.go
+++ b/cmd/grademill/roles.go
@@ -122,7 +122,7 @@
 		MaxQueue: orDefault(s.MaxQueue, defaultQueue), MaxDeadline: s.MaxDeadline.Or(defaultDeadline),
 		MinStall: s.MinStall.Or(defaultMinStall), MaxStall: s.MaxStall.Or(defaultMaxStall),
 		RecoverWait: s.RecoverWait.Or(defaultRecoverWait), Expiry: s.Expiry.Or(defaultExpiry),
-		SyncInterval: s.Sync.Or(defaultSync), HostListInterval: defaultList, Watchers: defaultWatchers,
+		Sync: s.Sync.Or(defaultSync), HostListInterval: defaultList, Watchers: defaultWatchers,
 		Retries: retry.Budget{
 			Share: orDefault(s.RetryShare, defaultRetryShare), Window: defaultRetryWindow,
 			Reserve: orDefault(s.RetryReserve, defaultReserve),
--- a/cmd/measure/placements.go
+++ b/cmd/measure/placements.go
@@ -141,8 +141,8 @@
 func room(cards []spread.Card) float64 {
 	at := make([]float64, drawnModel.Layers)
 	for _, c := range cards {
-		for l := c.Layers.First; l < c.Layers.End; l++ {
-			at[l] += float64(max(drawnModel.Room(cardKinds[c.Kind], c.Layers.Len()), 0))
+		for l := c.AssignedLayers.First; l < c.AssignedLayers.End; l++ {
+			at[l] += float64(max(drawnModel.Room(cardKinds[c.Kind], c.AssignedLayers.Len()), 0))
 		}
 	}
 	return slices.Min(at)
@@ -156,7 +156,7 @@
 	for l := range drawnModel.Layers {
 		least := math.Inf(1)
 		for _, c := range cards {
-			if c.Layers.First <= l && l < c.Layers.End {
+			if c.AssignedLayers.First <= l && l < c.AssignedLayers.End {
 				least = min(least, cardKinds[c.Kind].TokenTimeFactor)
 			}
 		}
@@ -176,7 +176,7 @@
 	for _, m := range moves {
 		for i := range cards {
 			if cards[i].ID == m.ID {
-				cards[i].Layers = m.Layers
+				cards[i].AssignedLayers = m.Layers
 			}
 		}
 	}
@@ -192,7 +192,7 @@
 		for i, c := range cards {
 			n := min(max(int(math.Round(size(c))), 1), int(0.9*cardKinds[c.Kind].Memory/drawnModel.LayerSize))
 			end := min(next+n, drawnModel.Layers)
-			cards[i].Layers = layer.Range{First: next, End: end}
+			cards[i].AssignedLayers = layer.Range{First: next, End: end}
 			next = end % drawnModel.Layers
 		}
 		return cards
@@ -216,7 +216,7 @@
 		for _, i := range list {
 			first := int(math.Round(sum / held[g] * float64(drawnModel.Layers)))
 			sum += cardKinds[cards[i].Kind].Memory
-			cards[i].Layers = layer.Range{First: first, End: int(math.Round(sum / held[g] * float64(drawnModel.Layers)))}
+			cards[i].AssignedLayers = layer.Range{First: first, End: int(math.Round(sum / held[g] * float64(drawnModel.Layers)))}
 		}
 	}
 	return cards
--- a/cmd/measure/site.go
+++ b/cmd/measure/site.go
@@ -130,7 +130,7 @@
 		Adjust: func(e *entry.Entry) { e.Chooser = chooser },
 	}
 	for i, hall := range s.halls {
-		l.Entries = append(l.Entries, lab.Entry{Name: fmt.Sprintf("entry-%d", i), Hall: hall})
+		l.Entries = append(l.Entries, lab.EntryConfig{Name: fmt.Sprintf("entry-%d", i), Hall: hall})
 	}
 	for i := range plainCount {
 		l.Plains = append(l.Plains, lab.Plain{
@@ -190,7 +190,7 @@
 	// The request ends when its entry is killed.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(t.lab.Context(t.lab.Entries[i].Name), cancel)()
+	defer context.AfterFunc(t.lab.ProcessContext(t.lab.Entries[i].Name), cancel)()
 	r := result{begin: time.Now(), request: id, team: team}
 	last := r.begin
 	var at []time.Time
@@ -285,7 +285,7 @@
 // small returns a lab with one entry and n engines, each with a third of the layers.
 func (s site) small(n int) *lab.Lab {
 	l := &lab.Lab{
-		Entries: []lab.Entry{{Name: "entry-0", Hall: s.halls[0]}},
+		Entries: []lab.EntryConfig{{Name: "entry-0", Hall: s.halls[0]}},
 		Service: "assistant", Layers: s.layers, Teams: teams(), MaxSessions: 128, Log: zerolog.Nop(),
 	}
 	third := s.layers / 3
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -89,7 +89,7 @@
 func serviceHandler(f *flag.FlagSet) func() http.Handler {
 	took := f.Duration("took", 5*time.Millisecond, "duration of a call")
 	return func() http.Handler {
-		s := &service.Service{Duration: *took}
+		s := &service.Service{CallDuration: *took}
 		mux := http.NewServeMux()
 		mux.Handle("/", s)
 		mux.HandleFunc("GET /test/record", func(w http.ResponseWriter, _ *http.Request) {
--- a/decide/apportion/division.go
+++ b/decide/apportion/division.go
@@ -26,8 +26,8 @@
 	Name string
 	// Members is the number of gateways, 1 for a single gateway.
 	Members int
-	// Demand is the demand in requests per second.
-	Demand float64
+	// Wanted is the demand in requests per second.
+	Wanted float64
 }
 
 // Division is one gateway's view of a limit and of the gateways that share it.
@@ -52,10 +52,10 @@
 // Share returns this gateway's share in requests per second. If there are more near gateways than
 // can have a usable share, most of them get 0.
 func (d Division) Share() float64 {
-	reporting, wanted := d.Own.Members, d.Own.Demand
+	reporting, wanted := d.Own.Members, d.Own.Wanted
 	for _, c := range slices.Concat(d.Individual, d.HallSums) {
 		reporting += c.Members
-		wanted += c.Demand
+		wanted += c.Wanted
 	}
 	fleet := float64(max(d.Fleet, reporting))
 	shareOf := func(c Claim) float64 {
@@ -63,7 +63,7 @@
 		if wanted <= 0 {
 			return even
 		}
-		return d.EvenShare*even + (1-d.EvenShare)*c.Demand/wanted*float64(reporting)/fleet
+		return d.EvenShare*even + (1-d.EvenShare)*c.Wanted/wanted*float64(reporting)/fleet
 	}
 	near := shareOf(d.Own)
 	for _, c := range d.Individual {
@@ -91,7 +91,7 @@
 func (d Division) holders(n int) []string {
 	var wanting, others []string
 	for _, c := range append([]Claim{d.Own}, d.Individual...) {
-		if c.Demand > 0 && d.EvenShare < 1 {
+		if c.Wanted > 0 && d.EvenShare < 1 {
 			wanting = append(wanting, c.Name)
 		} else {
 			others = append(others, c.Name)
--- a/decide/apportion/division_test.go
+++ b/decide/apportion/division_test.go
@@ -127,12 +127,12 @@
 // sendClaim sends a gateway's claim to the others of its hall, or to all in a flat fleet. In a
 // large fleet the first gateway of a hall also sends the hall's sum to the other halls.
 func (m *simulation) sendClaim(n *node, at time.Duration) {
-	own := apportion.Claim{Name: n.name, Members: 1, Demand: n.throttle.Demand(epoch.Add(at))}
-	sum := apportion.Claim{Members: 1, Demand: own.Demand}
+	own := apportion.Claim{Name: n.name, Members: 1, Wanted: n.throttle.Demand(epoch.Add(at))}
+	sum := apportion.Claim{Members: 1, Wanted: own.Wanted}
 	for _, c := range n.claims {
 		if c.Name != "" {
 			sum.Members++
-			sum.Demand += c.Demand
+			sum.Wanted += c.Wanted
 		}
 	}
 	for _, other := range m.nodes {
@@ -159,7 +159,7 @@
 func (m *simulation) share(n *node, at time.Duration) float64 {
 	d := apportion.Division{
 		Key: "endpoint", Limit: m.limit(at), Fleet: len(m.nodes), EvenShare: m.even,
-		Own: apportion.Claim{Name: n.name, Members: 1, Demand: n.throttle.Claim(epoch.Add(at), 2*m.digestInterval())},
+		Own: apportion.Claim{Name: n.name, Members: 1, Wanted: n.throttle.Claim(epoch.Add(at), 2*m.digestInterval())},
 	}
 	for _, other := range m.nodes {
 		if m.partitioned != nil && m.partitioned(n, other, at) {
@@ -288,7 +288,7 @@
 		var claims []apportion.Claim
 		for i := range 1 + random.IntN(40) {
 			claims = append(claims, apportion.Claim{
-				Name: fmt.Sprint(i), Members: 1, Demand: max(random.Float64()*20-5, 0),
+				Name: fmt.Sprint(i), Members: 1, Wanted: max(random.Float64()*20-5, 0),
 			})
 		}
 		limit := 0.1 + random.ExpFloat64()*10
--- a/decide/catalog/catalog.go
+++ b/decide/catalog/catalog.go
@@ -86,8 +86,8 @@
 
 // Limits bound the requests of callers. A zero field means no bound.
 type Limits struct {
-	MaxHeaderBytes int
-	MaxBodyBytes   int64
+	HeaderBytes int
+	BodyBytes   int64
 	// HeaderTimeout is how long the headers of a request may take to arrive.
 	HeaderTimeout time.Duration
 	// IdleTimeout is how long a connection may be idle between requests.
--- a/decide/member/set.go
+++ b/decide/member/set.go
@@ -31,8 +31,8 @@
 	heard         time.Time
 }
 
-// SetListed records the platform's list. An empty list carries no information and is ignored.
-func (s *Set) SetListed(now time.Time, peers []*wire.Peer) {
+// ApplyHostList records the platform's list. An empty list carries no information and is ignored.
+func (s *Set) ApplyHostList(now time.Time, peers []*wire.Peer) {
 	if len(peers) == 0 {
 		return
 	}
--- a/decide/member/set_test.go
+++ b/decide/member/set_test.go
@@ -27,19 +27,19 @@
 func TestListedHeardAndReportedEntries(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := member.Set{Retention: keep}
-	s.SetListed(now, []*wire.Peer{peer("b"), peer("a")})
+	s.ApplyHostList(now, []*wire.Peer{peer("b"), peer("a")})
 	require.Equal(t, []string{"a", "b"}, addresses(s.All()))
 	s.RecordDirect(now, peer("c"))
 	s.RecordReported(now, peer("d"))
 	require.Equal(t, []string{"a", "b", "c", "d"}, addresses(s.All()))
 	require.Equal(t, []string{"a", "b", "c"}, addresses(s.Shared()))
-	s.SetListed(now, nil)
+	s.ApplyHostList(now, nil)
 	require.Len(t, s.All(), 4, "an empty list changes nothing")
 	later := now.Add(keep + time.Second)
 	s.RecordDirect(later, peer("c"))
 	s.Expire(later)
 	require.Equal(t, []string{"a", "b", "c"}, addresses(s.All()))
-	s.SetListed(later, []*wire.Peer{peer("a")})
+	s.ApplyHostList(later, []*wire.Peer{peer("a")})
 	require.Equal(t, []string{"a", "c"}, addresses(s.All()))
 }
 
--- a/decide/once/table.go
+++ b/decide/once/table.go
@@ -71,19 +71,19 @@
 	at  time.Time
 }
 
-// EpochAt returns the epoch at the given time.
-func (t *Table[R]) EpochAt(now time.Time) uint64 {
+// Now returns the epoch at the given time.
+func (t *Table[R]) Now(now time.Time) uint64 {
 	return uint64(now.Sub(t.Start) / t.Epoch)
 }
 
 // late reports whether a call with a claim of an epoch may no longer start.
 func (t *Table[R]) late(now time.Time, epoch uint64) bool {
-	return t.EpochAt(now) > epoch+startWindow
+	return t.Now(now) > epoch+startWindow
 }
 
 // forgotten reports whether the table may have dropped the key of a call that ran.
 func (t *Table[R]) forgotten(now time.Time, epoch uint64) bool {
-	return t.EpochAt(now) >= epoch+uint64(t.Keep/t.Epoch)
+	return t.Now(now) >= epoch+uint64(t.Keep/t.Epoch)
 }
 
 // Begin decides whether the call of a ticket may start. Once a call of the key has started, the
--- a/decide/once/table_test.go
+++ b/decide/once/table_test.go
@@ -79,7 +79,7 @@
 	table.FinishLost(start, once.Key{1}, "")
 	require.Equal(t, once.Lost, table.Begin(start, ticket(1, "c", 0)))
 	later := start.Add(keep + epoch)
-	require.Equal(t, once.Start, table.Begin(later, ticket(2, "b", table.EpochAt(later))))
+	require.Equal(t, once.Start, table.Begin(later, ticket(2, "b", table.Now(later))))
 }
 
 // A call that runs for longer than keys are held must not be dropped.
--- a/decide/overlay/overlay.go
+++ b/decide/overlay/overlay.go
@@ -42,8 +42,8 @@
 	Self Member
 	// Others are the other gateways, each once.
 	Others []Member
-	// FlatUpTo is the size up to which the fleet is flat, 0 for FlatSize.
-	FlatUpTo int
+	// FlatFleetSize is the size up to which the fleet is flat, 0 for FlatSize.
+	FlatFleetSize int
 }
 
 // Size returns the number of gateways, including Self.
@@ -53,7 +53,7 @@
 
 // Flat reports whether every gateway sends its updates to all others.
 func (o Overlay) Flat() bool {
-	return o.Size() <= cmp.Or(o.FlatUpTo, FlatSize)
+	return o.Size() <= cmp.Or(o.FlatFleetSize, FlatSize)
 }
 
 // DigestPeers returns the gateways to which this one reports its use of endpoints.
--- a/decide/overlay/overlay_test.go
+++ b/decide/overlay/overlay_test.go
@@ -46,7 +46,7 @@
 		require.Len(t, o.DigestPeers(), 11)
 		require.False(t, o.IsDelegate())
 		require.Empty(t, o.StoreReaders())
-		o.FlatUpTo = 11
+		o.FlatFleetSize = 11
 		require.False(t, o.Flat())
 		require.Len(t, o.DigestPeers(), 3)
 	}
--- a/decide/place/planner.go
+++ b/decide/place/planner.go
@@ -14,15 +14,15 @@
 type Model struct {
 	// Service is the service that offers the model.
 	Service string
-	// Layers is the number of layers, LayersPerEngine the number that one idle endpoint can load; 0
+	// Layers is the number of layers, PerEngine the number that one idle endpoint can load; 0
 	// turns placement off.
-	Layers, LayersPerEngine int
+	Layers, PerEngine int
 	// Held are the ranges that endpoints hold now, with their capacities.
 	Held []flow.Edge
 }
 
-// IdleEndpoint is an endpoint without layers.
-type IdleEndpoint struct {
+// Host is an endpoint without layers.
+type Host struct {
 	Name string
 	// Allowed reports whether the policies let the model of a service be loaded here.
 	Allowed func(service string) bool
@@ -30,9 +30,9 @@
 
 // Order tells a host to load a range of layers of a service's model.
 type Order struct {
-	Endpoint string
-	Service  string
-	Layers   layer.Range
+	Host    string
+	Service string
+	Layers  layer.Range
 	// Gain is the rise of the model's throughput bound; 0 where the model needs further orders
 	// before it can serve.
 	Gain float64
@@ -47,7 +47,7 @@
 // Plan returns at most one order for each host. Only models that cannot serve at all get
 // orders. Each host goes to the model and range with the largest gain, on a tie to the service
 // first by name.
-func (p Planner) Plan(models []Model, hosts []IdleEndpoint) []Order {
+func (p Planner) Plan(models []Model, hosts []Host) []Order {
 	models = slices.Clone(models)
 	slices.SortFunc(models, func(a, b Model) int { return cmp.Compare(a.Service, b.Service) })
 	var orders []Order
@@ -74,15 +74,15 @@
 
 // bestOrder returns the order of the largest gain for a model, and false when the model can
 // serve, placement is off, or a policy forbids the host.
-func (p Planner) bestOrder(m Model, host IdleEndpoint) (Order, bool) {
-	if m.LayersPerEngine <= 0 || !host.Allowed(m.Service) {
+func (p Planner) bestOrder(m Model, host Host) (Order, bool) {
+	if m.PerEngine <= 0 || !host.Allowed(m.Service) {
 		return Order{}, false
 	}
 	network := flow.Network{Layers: m.Layers, Edges: m.Held}
 	if network.Bound() > 0 {
 		return Order{}, false
 	}
-	best, found := Order{Endpoint: host.Name, Service: m.Service}, false
+	best, found := Order{Host: host.Name, Service: m.Service}, false
 	for _, r := range p.ranges(m) {
 		if isHeld(m.Held, r) {
 			continue
@@ -99,8 +99,8 @@
 func (p Planner) ranges(m Model) []layer.Range {
 	var ranges []layer.Range
 	for _, gap := range m.uncovered() {
-		for first := gap.First; first < gap.End; first += m.LayersPerEngine {
-			ranges = append(ranges, layer.Range{First: first, End: min(first+m.LayersPerEngine, gap.End)})
+		for first := gap.First; first < gap.End; first += m.PerEngine {
+			ranges = append(ranges, layer.Range{First: first, End: min(first+m.PerEngine, gap.End)})
 		}
 	}
 	return ranges
--- a/decide/route/table.go
+++ b/decide/route/table.go
@@ -35,14 +35,14 @@
 	Epoch atomic.Uint64
 }
 
-// LoadReport is an endpoint's report of its own load. Zero fields are unknown.
-type LoadReport struct {
+// Report is an endpoint's report of its own load. Zero fields are unknown.
+type Report struct {
 	Sessions, Limit, Batch int
 	Step                   time.Duration
 }
 
 // Report records a load report.
-func (u *Usage) Report(r LoadReport) {
+func (u *Usage) Report(r Report) {
 	u.OtherSessions.Store(max(0, int64(r.Sessions)-u.OwnSessions.Load()))
 	if r.Limit > 0 {
 		u.Limit.Store(int64(r.Limit))
--- a/decide/route/table_test.go
+++ b/decide/route/table_test.go
@@ -16,7 +16,7 @@
 // candidate returns an endpoint with a known step time.
 func candidate(name, hall string, first, end int, step time.Duration) route.Candidate {
 	u := new(route.Usage)
-	u.Report(route.LoadReport{Limit: 8, Batch: 4, Step: step})
+	u.Report(route.Report{Limit: 8, Batch: 4, Step: step})
 	return route.Candidate{
 		Endpoint: fleet.Endpoint{Name: name, Hall: hall, Layers: layer.Range{First: first, End: end}},
 		Usage:    u,
--- a/decide/spread/closing_test.go
+++ b/decide/spread/closing_test.go
@@ -64,7 +64,7 @@
 			applyMoves(remaining, spread.Planner{}.Plan(tightModel, remaining))
 			require.NotContains(t, copies(remaining, "h"), 0, "%v without %s", shape, cards[lost].ID)
 			for _, c := range remaining {
-				require.Positive(t, tightModel.Room(tightModel.Cards[c.Kind], c.Layers.Len()), c.ID)
+				require.Positive(t, tightModel.Room(tightModel.Cards[c.Kind], c.AssignedLayers.Len()), c.ID)
 			}
 			requirePlansConverge(t, remaining)
 		}
@@ -74,11 +74,11 @@
 // Cards load no new layers where those already held suffice to cover the missing ones.
 func TestCoveringLoadsNoMoreLayersThanNeeded(t *testing.T) {
 	cards := []spread.Card{
-		{ID: "a", Hall: "h", Kind: "large", Layers: layer.Range{First: 0, End: 24}},
-		{ID: "b", Hall: "h", Kind: "large", Layers: layer.Range{First: 24, End: 48}},
-		{ID: "c", Hall: "h", Kind: "large", Layers: layer.Range{First: 52, End: 76}},
-		{ID: "d", Hall: "h", Kind: "large", Layers: layer.Range{First: 56, End: 80}},
-		{ID: "e", Hall: "h", Kind: "slow", Layers: layer.Range{First: 56, End: 63}},
+		{ID: "a", Hall: "h", Kind: "large", AssignedLayers: layer.Range{First: 0, End: 24}},
+		{ID: "b", Hall: "h", Kind: "large", AssignedLayers: layer.Range{First: 24, End: 48}},
+		{ID: "c", Hall: "h", Kind: "large", AssignedLayers: layer.Range{First: 52, End: 76}},
+		{ID: "d", Hall: "h", Kind: "large", AssignedLayers: layer.Range{First: 56, End: 80}},
+		{ID: "e", Hall: "h", Kind: "slow", AssignedLayers: layer.Range{First: 56, End: 63}},
 	}
 	moves := spread.Planner{}.Plan(tightModel, cards)
 	require.Equal(t, []spread.Move{{ID: "e", Layers: layer.Range{First: 48, End: 52}}}, moves)
@@ -89,13 +89,13 @@
 func TestReturningFastCardReplacesSlowCards(t *testing.T) {
 	cards := tightHall(1, 6, 6)
 	applyMoves(cards, spread.Planner{}.Plan(tightModel, cards))
-	original := cards[0].Layers
+	original := cards[0].AssignedLayers
 	require.Equal(t, "large-0", cards[0].ID)
 	remaining := slices.Clone(cards[1:])
 	slow := 0
 	for i := range remaining { // the last cards are slow and redundant
 		if remaining[i].Kind == "slow" && slow < 3 {
-			remaining[i].Layers = layer.Range{First: 7 * slow, End: 7*slow + 7}
+			remaining[i].AssignedLayers = layer.Range{First: 7 * slow, End: 7*slow + 7}
 			slow++
 		}
 	}
@@ -115,11 +115,11 @@
 // layers at its ends, and no layer loses its last holder.
 func TestOverfilledCardsAreTrimmed(t *testing.T) {
 	cards := []spread.Card{
-		{ID: "a", Hall: "h", Kind: "large", Layers: layer.Range{First: 0, End: 27}},
-		{ID: "b", Hall: "h", Kind: "large", Layers: layer.Range{First: 27, End: 62}},
-		{ID: "c", Hall: "h", Kind: "small", Layers: layer.Range{First: 54, End: 59}},
-		{ID: "d", Hall: "h", Kind: "small", Layers: layer.Range{First: 59, End: 64}},
-		{ID: "e", Hall: "h", Kind: "large", Layers: layer.Range{First: 60, End: 80}},
+		{ID: "a", Hall: "h", Kind: "large", AssignedLayers: layer.Range{First: 0, End: 27}},
+		{ID: "b", Hall: "h", Kind: "large", AssignedLayers: layer.Range{First: 27, End: 62}},
+		{ID: "c", Hall: "h", Kind: "small", AssignedLayers: layer.Range{First: 54, End: 59}},
+		{ID: "d", Hall: "h", Kind: "small", AssignedLayers: layer.Range{First: 59, End: 64}},
+		{ID: "e", Hall: "h", Kind: "large", AssignedLayers: layer.Range{First: 60, End: 80}},
 	}
 	moves := spread.Planner{}.Plan(tightModel, cards)
 	require.Equal(t, []spread.Move{{ID: "b", Layers: layer.Range{First: 27, End: 54}}}, moves)
@@ -131,9 +131,9 @@
 // layers.
 func TestNoRebalancingWhileACardLoads(t *testing.T) {
 	cards := []spread.Card{
-		{ID: "a", Hall: "h", Kind: "large", Layers: layer.Range{First: 0, End: 35}},
-		{ID: "b", Hall: "h", Kind: "large", Layers: layer.Range{First: 27, End: 54}, Fixed: true},
-		{ID: "c", Hall: "h", Kind: "large", Layers: layer.Range{First: 54, End: 80}},
+		{ID: "a", Hall: "h", Kind: "large", AssignedLayers: layer.Range{First: 0, End: 35}},
+		{ID: "b", Hall: "h", Kind: "large", AssignedLayers: layer.Range{First: 27, End: 54}, Fixed: true},
+		{ID: "c", Hall: "h", Kind: "large", AssignedLayers: layer.Range{First: 54, End: 80}},
 	}
 	require.Empty(t, spread.Planner{}.Plan(tightModel, cards))
 }
@@ -142,15 +142,15 @@
 func TestCardsInUseAreNotRebalanced(t *testing.T) {
 	for _, used := range []bool{false, true} {
 		cards := []spread.Card{
-			{ID: "a", Hall: "h", Kind: "large", Layers: layer.Range{First: 0, End: 27}},
-			{ID: "b", Hall: "h", Kind: "large", Layers: layer.Range{First: 27, End: 54}},
-			{ID: "c1", Hall: "h", Kind: "small", Layers: layer.Range{First: 54, End: 59}},
-			{ID: "c2", Hall: "h", Kind: "small", Layers: layer.Range{First: 59, End: 64}},
-			{ID: "c3", Hall: "h", Kind: "small", Layers: layer.Range{First: 64, End: 69}},
-			{ID: "c4", Hall: "h", Kind: "small", Layers: layer.Range{First: 69, End: 74}},
-			{ID: "c5", Hall: "h", Kind: "small", Layers: layer.Range{First: 74, End: 80}},
-			{ID: "d", Hall: "h", Kind: "slow", Layers: layer.Range{First: 0, End: 8}, InUse: true},
-			{ID: "e", Hall: "h", Kind: "slow", Layers: layer.Range{First: 0, End: 8}, InUse: used},
+			{ID: "a", Hall: "h", Kind: "large", AssignedLayers: layer.Range{First: 0, End: 27}},
+			{ID: "b", Hall: "h", Kind: "large", AssignedLayers: layer.Range{First: 27, End: 54}},
+			{ID: "c1", Hall: "h", Kind: "small", AssignedLayers: layer.Range{First: 54, End: 59}},
+			{ID: "c2", Hall: "h", Kind: "small", AssignedLayers: layer.Range{First: 59, End: 64}},
+			{ID: "c3", Hall: "h", Kind: "small", AssignedLayers: layer.Range{First: 64, End: 69}},
+			{ID: "c4", Hall: "h", Kind: "small", AssignedLayers: layer.Range{First: 69, End: 74}},
+			{ID: "c5", Hall: "h", Kind: "small", AssignedLayers: layer.Range{First: 74, End: 80}},
+			{ID: "d", Hall: "h", Kind: "slow", AssignedLayers: layer.Range{First: 0, End: 8}, InUse: true},
+			{ID: "e", Hall: "h", Kind: "slow", AssignedLayers: layer.Range{First: 0, End: 8}, InUse: used},
 		}
 		require.Equal(t, used, len(spread.Planner{}.Plan(tightModel, cards)) == 0)
 	}
--- a/decide/spread/ease.go
+++ b/decide/spread/ease.go
@@ -20,10 +20,10 @@
 		return 0, layer.Range{}, false
 	}
 	for i, c := range cov.cards {
-		if c.Layers.Empty() {
+		if c.AssignedLayers.Empty() {
 			continue
 		}
-		if r := cov.trim(c); r != c.Layers {
+		if r := cov.trim(c); r != c.AssignedLayers {
 			return i, r, true
 		}
 	}
@@ -38,7 +38,7 @@
 // trim returns the range of a card without layers at its ends that others hold, as far as the
 // range exceeds the planned fill.
 func (cov *coverage) trim(c Card) layer.Range {
-	r, targetLayers := c.Layers, cov.planner.targetLayers(cov.model, c)
+	r, targetLayers := c.AssignedLayers, cov.planner.targetLayers(cov.model, c)
 	for r.Len() > targetLayers {
 		switch {
 		case cov.copies[r.First] > 1:
@@ -58,8 +58,8 @@
 	c := cov.cards[i]
 	without := *cov
 	without.cards = append([]Card(nil), cov.cards...)
-	without.cards[i].Layers = layer.Range{}
+	without.cards[i].AssignedLayers = layer.Range{}
 	without.recompute()
 	r := without.rangeFor(c)
-	return r, without.value(c, r) > without.value(c, c.Layers)+minMoveGain
+	return r, without.value(c, r) > without.value(c, c.AssignedLayers)+minMoveGain
 }
--- a/decide/spread/floor.go
+++ b/decide/spread/floor.go
@@ -50,12 +50,12 @@
 	cov.supply, cov.fastest = make([]float64, n), make([]float64, n)
 	for _, c := range cov.cards {
 		tokenCapacity, pace := cov.tokenCapacity(c), cov.model.Cards[c.Kind].TokenTimeFactor
-		for l := max(c.Layers.First, 0); l < min(c.Layers.End, n); l++ {
+		for l := max(c.AssignedLayers.First, 0); l < min(c.AssignedLayers.End, n); l++ {
 			cov.copies[l]++
 			cov.supply[l] += tokenCapacity
 			cov.soleHolderLen[l] = 0
 			if cov.copies[l] == 1 {
-				cov.soleHolderLen[l] = c.Layers.Len()
+				cov.soleHolderLen[l] = c.AssignedLayers.Len()
 			}
 			if cov.fastest[l] == 0 || pace < cov.fastest[l] {
 				cov.fastest[l] = pace
@@ -67,7 +67,7 @@
 // tokenCapacity returns the number of tokens for which a card has room once it holds at least
 // the planned number of layers.
 func (cov *coverage) tokenCapacity(c Card) float64 {
-	return float64(max(cov.model.Room(cov.model.Cards[c.Kind], max(c.Layers.Len(), cov.planner.targetLayers(cov.model, c))), 0))
+	return float64(max(cov.model.Room(cov.model.Cards[c.Kind], max(c.AssignedLayers.Len(), cov.planner.targetLayers(cov.model, c))), 0))
 }
 
 // admittedTokens returns the number of tokens that the request slots of the first layer's
@@ -78,7 +78,7 @@
 
 // assign gives a card another range and recomputes the coverage.
 func (cov *coverage) assign(i int, r layer.Range) {
-	cov.cards[i].Layers, cov.cards[i].Fixed = r, true
+	cov.cards[i].AssignedLayers, cov.cards[i].Fixed = r, true
 	cov.recompute()
 }
 
--- a/decide/spread/place.go
+++ b/decide/spread/place.go
@@ -26,7 +26,7 @@
 		moves[i] = r
 	}
 	for i, c := range cov.cards {
-		if c.Layers.Empty() && !c.Fixed && p.targetLayers(m, c) > 0 {
+		if c.AssignedLayers.Empty() && !c.Fixed && p.targetLayers(m, c) > 0 {
 			assign(i, cov.rangeFor(c))
 		}
 	}
@@ -66,18 +66,18 @@
 func (cov *coverage) redundant() []int {
 	copies := slices.Clone(cov.copies)
 	for _, c := range cov.cards {
-		for l := max(c.Layers.First, 0); c.Fixed && l < min(c.Layers.End, len(copies)); l++ {
+		for l := max(c.AssignedLayers.First, 0); c.Fixed && l < min(c.AssignedLayers.End, len(copies)); l++ {
 			copies[l]-- // the card may still be loading
 		}
 	}
 	var list []int
 	for i := len(cov.cards) - 1; i >= 0; i-- {
 		c := cov.cards[i]
-		if c.Fixed || c.Layers.Empty() || slices.Min(copies[c.Layers.First:c.Layers.End]) < 2 {
+		if c.Fixed || c.AssignedLayers.Empty() || slices.Min(copies[c.AssignedLayers.First:c.AssignedLayers.End]) < 2 {
 			continue
 		}
 		list = append(list, i)
-		for l := c.Layers.First; l < c.Layers.End; l++ {
+		for l := c.AssignedLayers.First; l < c.AssignedLayers.End; l++ {
 			copies[l]--
 		}
 	}
@@ -92,14 +92,14 @@
 	redundant := cov.redundant()
 	var order []int
 	for i, c := range cov.cards {
-		if !c.Layers.Empty() && !slices.Contains(redundant, i) {
+		if !c.AssignedLayers.Empty() && !slices.Contains(redundant, i) {
 			order = append(order, i)
 		}
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cov.cards[a].Layers.First - cov.cards[b].Layers.First })
+	slices.SortStableFunc(order, func(a, b int) int { return cov.cards[a].AssignedLayers.First - cov.cards[b].AssignedLayers.First })
 	uncovered := cov.uncovered()
 	at := 0
-	for at < len(order) && cov.cards[order[at]].Layers.First < uncovered.First {
+	for at < len(order) && cov.cards[order[at]].AssignedLayers.First < uncovered.First {
 		at++
 	}
 	order = slices.Insert(order, at, redundant...)
@@ -110,7 +110,7 @@
 		if c.Fixed {
 			maxLayers = 0
 		}
-		t.tiles = append(t.tiles, tile{holds: c.Layers, maxLayers: maxLayers})
+		t.tiles = append(t.tiles, tile{holds: c.AssignedLayers, maxLayers: maxLayers})
 	}
 	ranges, cost := t.solve()
 	if ranges == nil {
@@ -118,7 +118,7 @@
 	}
 	moves := make(map[int]layer.Range)
 	for k, i := range order {
-		if r := ranges[k]; !r.Empty() && (r.First < cov.cards[i].Layers.First || r.End > cov.cards[i].Layers.End) {
+		if r := ranges[k]; !r.Empty() && (r.First < cov.cards[i].AssignedLayers.First || r.End > cov.cards[i].AssignedLayers.End) {
 			moves[i] = r
 		}
 	}
--- a/decide/spread/spread.go
+++ b/decide/spread/spread.go
@@ -16,8 +16,8 @@
 	ID, Hall string
 	// Kind is the key of its catalog.Card in the model's Cards.
 	Kind string
-	// Layers is the range that the card holds or has been ordered to load.
-	Layers layer.Range
+	// AssignedLayers is the range that the card holds or has been ordered to load.
+	AssignedLayers layer.Range
 	// Fixed is set while the card must not be given another range.
 	Fixed bool
 	// InUse is set while requests run on the card. Such a card moves only to cover layers that
@@ -70,7 +70,7 @@
 func hallGroups(m *catalog.Model, cards []Card) [][]Card {
 	halls := make(map[string][]Card)
 	for _, c := range cards {
-		if c.Layers.First < 0 || c.Layers.End > m.Layers {
+		if c.AssignedLayers.First < 0 || c.AssignedLayers.End > m.Layers {
 			continue // the layers are another model's, or the record is wrong
 		}
 		halls[c.Hall] = append(halls[c.Hall], c)
--- a/decide/spread/spread_test.go
+++ b/decide/spread/spread_test.go
@@ -41,7 +41,7 @@
 	for _, m := range moves {
 		for i := range cards {
 			if cards[i].ID == m.ID {
-				cards[i].Layers = m.Layers
+				cards[i].AssignedLayers = m.Layers
 			}
 		}
 	}
@@ -54,7 +54,7 @@
 		if c.Hall != hall {
 			continue
 		}
-		for l := c.Layers.First; l < c.Layers.End; l++ {
+		for l := c.AssignedLayers.First; l < c.AssignedLayers.End; l++ {
 			n[l]++
 		}
 	}
@@ -72,7 +72,7 @@
 		require.NotContains(t, copies(cards, h), 0, h)
 	}
 	for _, c := range cards {
-		require.Positive(t, model.Room(model.Cards[c.Kind], c.Layers.Len()), c.ID)
+		require.Positive(t, model.Room(model.Cards[c.Kind], c.AssignedLayers.Len()), c.ID)
 	}
 	require.Empty(t, spread.Planner{}.Plan(model, cards), "a fleet that serves is not changed")
 }
@@ -120,9 +120,9 @@
 // Cards beside a few missing layers take them on and keep their own.
 func TestNeighboursTakeMissingLayers(t *testing.T) {
 	cards := []spread.Card{
-		{ID: "a", Hall: "h", Kind: "a100", Layers: layer.Range{First: 0, End: 26}},
-		{ID: "b", Hall: "h", Kind: "a100", Layers: layer.Range{First: 28, End: 54}},
-		{ID: "c", Hall: "h", Kind: "a100", Layers: layer.Range{First: 54, End: 80}},
+		{ID: "a", Hall: "h", Kind: "a100", AssignedLayers: layer.Range{First: 0, End: 26}},
+		{ID: "b", Hall: "h", Kind: "a100", AssignedLayers: layer.Range{First: 28, End: 54}},
+		{ID: "c", Hall: "h", Kind: "a100", AssignedLayers: layer.Range{First: 54, End: 80}},
 	}
 	moves := spread.Planner{Fill: 0.6}.Plan(model, cards)
 	require.Equal(t, []spread.Move{{ID: "a", Layers: layer.Range{First: 0, End: 28}}}, moves)
@@ -134,7 +134,7 @@
 	cards := emptyHall("h", 1, 3, 8)
 	applyMoves(cards, spread.Planner{}.Plan(model, cards))
 	fast := slices.IndexFunc(cards, func(c spread.Card) bool { return c.Kind == "a100" })
-	original := cards[fast].Layers
+	original := cards[fast].AssignedLayers
 	remaining := slices.Delete(slices.Clone(cards), fast, fast+1)
 	applyMoves(remaining, spread.Planner{}.Plan(model, remaining))
 	remaining = append(remaining, spread.Card{ID: "back", Hall: "h", Kind: "a100"})
@@ -172,7 +172,7 @@
 	applyMoves(cards, spread.Planner{}.Plan(model, cards))
 	remaining := slices.Delete(slices.Clone(cards), 0, 1)
 	invalid := &remaining[len(remaining)-1]
-	invalid.Layers = layer.Range{First: 70, End: 95}
+	invalid.AssignedLayers = layer.Range{First: 70, End: 95}
 	require.Contains(t, copies(remaining[:len(remaining)-1], "h"), 0, "some layers are uncovered")
 	moves := spread.Planner{}.Plan(model, remaining)
 	require.NotEmpty(t, moves)
@@ -203,7 +203,7 @@
 		for i := range cards {
 			if random.IntN(3) == 0 {
 				first := random.IntN(70)
-				cards[i].Layers = layer.Range{First: first, End: first + 5}
+				cards[i].AssignedLayers = layer.Range{First: first, End: first + 5}
 			}
 		}
 		for round := 0; ; round++ {
@@ -219,7 +219,7 @@
 			require.Less(t, round, 3*len(cards)+3, "plans do not converge")
 		}
 		for _, c := range cards {
-			require.GreaterOrEqual(t, model.Room(model.Cards[c.Kind], c.Layers.Len()), 0)
+			require.GreaterOrEqual(t, model.Room(model.Cards[c.Kind], c.AssignedLayers.Len()), 0)
 		}
 	}
 }
--- a/decide/story/times.go
+++ b/decide/story/times.go
@@ -8,10 +8,10 @@
 
 // Times breaks down the time in which a stream was answered, and shows why an answer was late.
 type Times struct {
-	// Earlier is the time spent on the caller's earlier requests, 0 unless the gateway took it for a
-	// returning caller. Queue is the time in the queue. Chain is the time from leaving the queue to
+	// Before is the time spent on the caller's earlier requests, 0 unless the gateway took it for a
+	// returning caller. Line is the time in the queue. Chain is the time from leaving the queue to
 	// the first event, including abandoned attempts.
-	Earlier, Queue, Chain time.Duration
+	Before, Line, Chain time.Duration
 	// MaxPause is the longest time between two events.
 	MaxPause time.Duration
 }
@@ -22,7 +22,7 @@
 		return ""
 	}
 	return fmt.Sprintf("%v with earlier tries, %v in line, %v from there to the first event; longest pause %v",
-		t.Earlier, t.Queue, t.Chain, t.MaxPause)
+		t.Before, t.Line, t.Chain, t.MaxPause)
 }
 
 // timesOf returns the times in the last line about a request.
@@ -32,9 +32,9 @@
 		return Times{}
 	}
 	queued := l.millis("waited_ms")
-	t := Times{Queue: queued, Chain: max(first-queued, 0), MaxPause: l.millis("pause_ms")}
+	t := Times{Line: queued, Chain: max(first-queued, 0), MaxPause: l.millis("pause_ms")}
 	if string(l.Fields["returned"]) == "true" {
-		t.Earlier = l.millis("under_route_ms")
+		t.Before = l.millis("under_route_ms")
 	}
 	return t
 }
--- a/decide/story/verdict.go
+++ b/decide/story/verdict.go
@@ -27,7 +27,7 @@
 
 // Verdict is the result of one of a caller's attempts.
 type Verdict struct {
-	Fate Result
+	Result Result
 	// Process is the gateway that received it.
 	Process string
 	// Endpoint is where it ran or may have run, empty if it did not; that endpoint's own log has
@@ -41,7 +41,7 @@
 
 // String returns the verdict as one line.
 func (v Verdict) String() string {
-	text := string(v.Fate)
+	text := string(v.Result)
 	if v.Status != 0 {
 		text += fmt.Sprintf(", status %d", v.Status)
 	}
@@ -66,11 +66,11 @@
 
 // Verdict returns the result of the request.
 func (s *Log) Verdict() Verdict {
-	v := Verdict{Fate: FateUnsent}
+	v := Verdict{Result: FateUnsent}
 	for _, l := range s.Lines() {
 		switch l.Message {
 		case messageSent:
-			v = Verdict{Fate: FateUnknown, Process: l.Process, Endpoint: l.text("address")}
+			v = Verdict{Result: FateUnknown, Process: l.Process, Endpoint: l.text("address")}
 		case messageEnded:
 			v = verdictOf(l)
 		}
@@ -86,11 +86,11 @@
 	}
 	switch {
 	case l.text("outcome") == "served":
-		v.Fate = FateAnswered
+		v.Result = FateAnswered
 	case l.number("runs") == 0:
-		v.Fate, v.Endpoint = FateNotRun, ""
+		v.Result, v.Endpoint = FateNotRun, ""
 	default:
-		v.Fate = FateRan
+		v.Result = FateRan
 	}
 	return v
 }
--- a/decide/story/verdict_test.go
+++ b/decide/story/verdict_test.go
@@ -24,11 +24,11 @@
 		log  []string
 		want story.Verdict
 	}{
-		{"acknowledged", []string{sent, served}, story.Verdict{Fate: story.FateAnswered, Process: "g-1", Endpoint: "10.0.0.1:80", Status: 200}},
-		{"refused", []string{sent, notRun}, story.Verdict{Fate: story.FateNotRun, Process: "g-1", Status: 503}},
-		{"failed", []string{sent, failed}, story.Verdict{Fate: story.FateRan, Process: "g-1", Endpoint: "10.0.0.1:80", Status: 502}},
-		{"power lost in between", []string{sent, other}, story.Verdict{Fate: story.FateUnknown, Process: "g-1", Endpoint: "10.0.0.1:80"}},
-		{"never sent", []string{other}, story.Verdict{Fate: story.FateUnsent}},
+		{"acknowledged", []string{sent, served}, story.Verdict{Result: story.FateAnswered, Process: "g-1", Endpoint: "10.0.0.1:80", Status: 200}},
+		{"refused", []string{sent, notRun}, story.Verdict{Result: story.FateNotRun, Process: "g-1", Status: 503}},
+		{"failed", []string{sent, failed}, story.Verdict{Result: story.FateRan, Process: "g-1", Endpoint: "10.0.0.1:80", Status: 502}},
+		{"power lost in between", []string{sent, other}, story.Verdict{Result: story.FateUnknown, Process: "g-1", Endpoint: "10.0.0.1:80"}},
+		{"never sent", []string{other}, story.Verdict{Result: story.FateUnsent}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 	_, err := s.Read(strings.NewReader(log))
 	require.NoError(t, err)
 	want := story.Times{
-		Earlier: 2100 * time.Millisecond, Queue: 301 * time.Millisecond, Chain: 339 * time.Millisecond,
+		Before: 2100 * time.Millisecond, Line: 301 * time.Millisecond, Chain: 339 * time.Millisecond,
 		MaxPause: 46 * time.Millisecond,
 	}
 	require.Equal(t, want, s.Verdict().Times)
--- a/decide/unseen/flow.go
+++ b/decide/unseen/flow.go
@@ -6,9 +6,9 @@
 
 // Usage describes how other gateways use shared capacity.
 type Usage struct {
-	// ReportInterval is the time between two reports of a gateway. HoldTime is how long its requests hold the
+	// ReportInterval is the time between two reports of a gateway. RequestDuration is how long its requests hold the
 	// capacity, 0 if unknown.
-	ReportInterval, HoldTime time.Duration
+	ReportInterval, RequestDuration time.Duration
 }
 
 // UnreportedShare returns the number of requests that others may have added since their reports, as a fraction
@@ -18,8 +18,8 @@
 // to 0.5 s (mixed cards at 3.2 times their capacity). In the test's simulation they overfill the slots
 // by 1.2 on average without it and by 0.1 with it, and use 0.96 of them.
 func (f Usage) UnreportedShare() float64 {
-	if f.HoldTime <= 0 {
+	if f.RequestDuration <= 0 {
 		return 0
 	}
-	return min(float64(f.ReportInterval)/float64(f.HoldTime), 1)
+	return min(float64(f.ReportInterval)/float64(f.RequestDuration), 1)
 }
--- a/decide/unseen/flow_test.go
+++ b/decide/unseen/flow_test.go
@@ -82,7 +82,7 @@
 // Gateways that add the estimate of unreported requests must overfill the slots less, and still use
 // nearly all of them.
 func TestSlotsAreNotOverfilled(t *testing.T) {
-	margin := unseen.Usage{ReportInterval: reportInterval, HoldTime: requestDuration}.UnreportedShare()
+	margin := unseen.Usage{ReportInterval: reportInterval, RequestDuration: requestDuration}.UnreportedShare()
 	before, _ := simulate(0)
 	after, used := simulate(margin)
 	t.Logf("slots overfilled by %.1f with the estimate, %.1f without; used %.3f", after, before, used)
@@ -92,5 +92,5 @@
 
 func TestUnknownAndShortDurations(t *testing.T) {
 	require.Zero(t, unseen.Usage{ReportInterval: reportInterval}.UnreportedShare())
-	require.InDelta(t, 1, unseen.Usage{ReportInterval: time.Minute, HoldTime: time.Second}.UnreportedShare(), 1e-9)
+	require.InDelta(t, 1, unseen.Usage{ReportInterval: time.Minute, RequestDuration: time.Second}.UnreportedShare(), 1e-9)
 }
--- a/decide/view/view.go
+++ b/decide/view/view.go
@@ -81,7 +81,7 @@
 // RecordHeartbeat records a heartbeat: the time, the agent's epoch and its load report. It returns the
 // endpoint and whether choices may change; ok is false when no endpoint of that incarnation is
 // known.
-func (v *View) RecordHeartbeat(now time.Time, incarnation, epoch uint64, r route.LoadReport) (e fleet.Endpoint, changed, ok bool) {
+func (v *View) RecordHeartbeat(now time.Time, incarnation, epoch uint64, r route.Report) (e fleet.Endpoint, changed, ok bool) {
 	k := v.byIncarnation[incarnation]
 	if k == nil {
 		return fleet.Endpoint{}, false, false
@@ -95,7 +95,7 @@
 }
 
 // RecordLoad records a load report that came with an answer.
-func (v *View) RecordLoad(name string, r route.LoadReport) {
+func (v *View) RecordLoad(name string, r route.Report) {
 	if k := v.state[name]; k != nil {
 		k.usage.Report(r)
 	}
@@ -122,9 +122,9 @@
 	return false
 }
 
-// SetLeavingHosts records which hosts the platform's list reports as leaving, by the agents' addresses.
+// ApplyHostList records which hosts the platform's list reports as leaving, by the agents' addresses.
 // It reports whether choices may change.
-func (v *View) SetLeavingHosts(leaving map[string]bool) bool {
+func (v *View) ApplyHostList(leaving map[string]bool) bool {
 	changed := false
 	for _, k := range v.state {
 		listedLeaving := leaving[k.endpoint.Address]
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -89,7 +89,7 @@
 // lab returns a lab of three halls, each with two engines of different speed for one third of the model.
 func (d *Demo) lab(records string) *lab.Lab {
 	l := &lab.Lab{
-		Entries: []lab.Entry{{Name: "entry-1", Hall: "rose-hill"}, {Name: "entry-2", Hall: "curepipe"}},
+		Entries: []lab.EntryConfig{{Name: "entry-1", Hall: "rose-hill"}, {Name: "entry-2", Hall: "curepipe"}},
 		Plains:  []lab.Plain{{Name: "records-1", Hall: "rose-hill", Service: plain, Base: records}},
 		Service: model, Layers: layers, PlainService: plain,
 		Teams: map[string]float64{team: 1}, Log: d.Log,
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -52,14 +52,14 @@
 	Base string
 }
 
-// Entry describes an entry: its name and its data hall.
-type Entry struct {
+// EntryConfig describes an entry: its name and its data hall.
+type EntryConfig struct {
 	Name, Hall string
 }
 
 // Lab is a deployment in one process. Set the exported fields, then call Start.
 type Lab struct {
-	Entries []Entry
+	Entries []EntryConfig
 	Engines []Engine
 	Plains  []Plain
 	// Service is the service of the engines, and Layers the number of layers of its model.
@@ -169,8 +169,8 @@
 // basePort lies below the kernel's range of ephemeral ports.
 const basePort = 20000
 
-// Context returns a context that is cancelled when the named process is killed.
-func (l *Lab) Context(name string) context.Context {
+// ProcessContext returns a context that is cancelled when the named process is killed.
+func (l *Lab) ProcessContext(name string) context.Context {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.contexts[name]
@@ -219,12 +219,12 @@
 	return nil
 }
 
-func (l *Lab) newEntry(h Entry, address string, peers []string) *entry.Entry {
+func (l *Lab) newEntry(h EntryConfig, address string, peers []string) *entry.Entry {
 	return &entry.Entry{
 		Name: h.Name, Hall: h.Hall, Address: address, Peers: peers, Store: l.Store, Hosts: l.Store,
 		Links: linkLatency, MaxQueue: orDefault(l.MaxQueue, defaultQueue), MaxDeadline: time.Minute,
 		MinStall: 100 * time.Millisecond, MaxStall: 5 * time.Second, RecoverWait: 3 * time.Second,
-		Expiry: 3 * time.Second, SyncInterval: 200 * time.Millisecond, HostListInterval: time.Second, Watchers: 2,
+		Expiry: 3 * time.Second, Sync: 200 * time.Millisecond, HostListInterval: time.Second, Watchers: 2,
 		Retries:   retry.Budget{Share: 0.1, Window: time.Minute, Reserve: 20},
 		ClaimKeep: time.Hour, OrderLease: 3 * time.Second, DrainTimeout: 30 * time.Second,
 		Log: l.Log.With().Str("process", h.Name).Logger(),
--- a/port/exchange/exchange.go
+++ b/port/exchange/exchange.go
@@ -18,9 +18,9 @@
 	ID string
 	// Key is the API key, empty if the caller sends none.
 	Key string
-	// Timeout is how long the caller waits for the answer, 0 if the headers do not state
+	// CallerTimeout is how long the caller waits for the answer, 0 if the headers do not state
 	// it.
-	Timeout time.Duration
+	CallerTimeout time.Duration
 	// Prompt is the number of tokens in the prompt, MaxAnswer the maximum number in the
 	// answer, and ExpectedAnswer the number that the caller expects. Each is 0 if the
 	// caller does not send it.
@@ -70,10 +70,10 @@
 
 // Dialect reads and writes a platform's headers. Its methods are safe for concurrent use.
 type Dialect interface {
-	// CallerHeaders reads a caller's headers. It returns an error if a header cannot be read.
-	CallerHeaders(h http.Header) (RequestHeaders, error)
-	// ForwardHeaders changes h, a copy of a caller's headers, into the headers for an endpoint.
-	ForwardHeaders(h http.Header, s EndpointHeaders)
-	// AnswerHeaders reads the status and the headers of an endpoint's answer.
-	AnswerHeaders(status int, h http.Header) ReplyHeaders
+	// RequestHeaders reads a caller's headers. It returns an error if a header cannot be read.
+	RequestHeaders(h http.Header) (RequestHeaders, error)
+	// EndpointHeaders changes h, a copy of a caller's headers, into the headers for an endpoint.
+	EndpointHeaders(h http.Header, s EndpointHeaders)
+	// ReplyHeaders reads the status and the headers of an endpoint's answer.
+	ReplyHeaders(status int, h http.Header) ReplyHeaders
 }
--- a/role/admission/line.go
+++ b/role/admission/line.go
@@ -171,7 +171,7 @@
 // admissions in requests per second from which the delay was computed.
 func (l *Queue[G]) RetryAfter(r Request, now time.Time) (time.Duration, float64) {
 	l.refusedAt.Store(now.UnixNano())
-	load := comeback.Load{Admitted: l.ready().Admitted(r.Service), RequestDuration: l.Times.Duration(r.Service)}
+	load := comeback.Load{Admitted: l.ready().Admitted(r.Service), RequestDuration: l.Times.RequestDuration(r.Service)}
 	maxDelay := time.Duration(maxRetryAfterShare * float64(r.Deadline.Sub(now)))
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/role/admission/line_test.go
+++ b/role/admission/line_test.go
@@ -74,7 +74,7 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.refusals++
-		if known := p.line.Times.Duration("assistant"); wait < known {
+		if known := p.line.Times.RequestDuration("assistant"); wait < known {
 			p.tooEarly++
 		}
 		return false, wait
--- a/role/agent/agent.go
+++ b/role/agent/agent.go
@@ -149,7 +149,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	server := &listen.Server{Address: a.Address, OnBatch: a.handleFrame, Methods: a.methods(), Log: a.Log}
+	server := &listen.Server{Address: a.Address, Batch: a.handleFrame, Calls: a.methods(), Log: a.Log}
 	if err := server.Listen(); err != nil {
 		return err
 	}
--- a/role/agent/agent_test.go
+++ b/role/agent/agent_test.go
@@ -99,7 +99,7 @@
 // start runs an agent together with an owner.
 func start(t *testing.T, a *agent.Agent) *owner {
 	o := &owner{t: t, links: &link.Set{Name: "owner", Log: zerolog.Nop()}, agent: a}
-	o.server = &listen.Server{Address: address(), OnBatch: o.take, Log: zerolog.Nop()}
+	o.server = &listen.Server{Address: address(), Batch: o.take, Log: zerolog.Nop()}
 	require.NoError(t, o.server.Listen())
 	go o.server.Start(context.Background()) //nolint:errcheck // ends with Stop
 	a.Name, a.Hall, a.Address = "a", "h", address()
@@ -383,7 +383,7 @@
 func TestAgentRecoversFromListOfDeadEntries(t *testing.T) {
 	o := start(t, &agent.Agent{Engine: new(fakeEngine)})
 	dead := &wire.Peer{Name: "dead", Address: address()}
-	o.links.Update(o.agent.Address, &wire.News{Entries: []*wire.Peer{dead}})
+	o.links.News(o.agent.Address, &wire.News{Entries: []*wire.Peer{dead}})
 	wanted := agent.EntriesHash([]*wire.Peer{dead})
 	o.eventually(func() bool { return o.heard().GetEntriesHash() == wanted })
 }
--- a/role/agent/beat.go
+++ b/role/agent/beat.go
@@ -67,7 +67,7 @@
 	load.Endpoint = "" // implied by the incarnation
 	return &wire.Heartbeat{
 		Incarnation: a.incarnation, Load: load, EntriesHash: a.entriesHash,
-		Epoch: a.calls.EpochAt(time.Now()), Term: a.fence.Term,
+		Epoch: a.calls.Now(time.Now()), Term: a.fence.Term,
 	}
 }
 
--- a/role/announcer/announcer_test.go
+++ b/role/announcer/announcer_test.go
@@ -113,7 +113,7 @@
 	l := &incarnation{s: s, done: make(chan struct{}), Announcer: &announcer.Announcer{
 		Self: self, Store: s, Peers: table, Ready: &ready, Ending: &ending, Log: zerolog.Nop(),
 		Overlay: func() overlay.Overlay {
-			return overlay.Overlay{Self: self, Others: table.Members(name), FlatUpTo: 2}
+			return overlay.Overlay{Self: self, Others: table.Members(name), FlatFleetSize: 2}
 		},
 	}}
 	s.mu.Lock()
--- a/role/entry/call.go
+++ b/role/entry/call.go
@@ -57,7 +57,7 @@
 // once runs a call that must run at most once.
 func (c *call) once(ctx context.Context) (router.Reply, error) {
 	runner := &runonce.Runner{
-		Claims: c.entry.claims, Agents: c, Seats: c, MayRetry: c.entry.mayRetry,
+		Claims: c.entry.claims, Agents: c, Reservations: c, MayRetry: c.entry.mayRetry,
 		Key: hex.EncodeToString(c.key), Digest: c.digest, Shared: c.request.Key != "",
 	}
 	reply, report := runner.Run(ctx)
@@ -98,8 +98,8 @@
 	_ runonce.Reservations = (*call)(nil)
 )
 
-// Reserve implements runonce.Seats.
-func (c *call) Reserve(ctx context.Context, avoid map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
+// Enter implements runonce.Seats.
+func (c *call) Enter(ctx context.Context, avoid map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
 	s, report := c.entry.gate.Enter(ctx, gate.Ticket[*reservation]{
 		Lane: c.request.Service, Team: c.request.Team, Weight: c.weight, Priority: c.decision.Priority, Cost: 1,
 		Try: func() (*reservation, gate.Answer) { return c.entry.reserveEndpoint(c.request.Service, avoid) },
@@ -164,7 +164,7 @@
 	ran := false
 	avoid := make(map[string]bool)
 	for why := "least loaded"; ; {
-		at, leave, report := c.Reserve(ctx, avoid)
+		at, leave, report := c.Enter(ctx, avoid)
 		if report != nil {
 			return router.Reply{}, withRan(ran, report)
 		}
@@ -180,7 +180,7 @@
 		ran = ran || err != nil || reply.GetOutcome() != wire.CallReply_NOT_RUN
 		avoid[at.Name] = true
 		if ctx.Err() != nil {
-			return router.Reply{}, withRan(ran, outcome.Refuse(outcome.DeadlineExceeded, ctx.Err().Error(), retryAfter))
+			return router.Reply{}, withRan(ran, outcome.Refuse(outcome.DeadlineOver, ctx.Err().Error(), retryAfter))
 		}
 		if !c.entry.mayRetry() {
 			return router.Reply{}, withRan(ran, outcome.Refuse(outcome.RetryExceeded, why, retryAfter))
--- a/role/entry/entry.go
+++ b/role/entry/entry.go
@@ -63,8 +63,8 @@
 	RecoverWait time.Duration
 	// Expiry is how long an endpoint stays in use without a heartbeat.
 	Expiry time.Duration
-	// SyncInterval is the mean interval between requests to peers for changes.
-	SyncInterval time.Duration
+	// Sync is the mean interval between requests to peers for changes.
+	Sync time.Duration
 	// HostListInterval is the mean interval between reads of the list of hosts.
 	HostListInterval time.Duration
 	// Watchers is the number of entries per hall that watch the platform for changes.
@@ -159,7 +159,7 @@
 func (e *Entry) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	server := &listen.Server{Address: e.Address, OnBatch: e.handleFrame, Methods: e.methods(), Log: e.Log}
+	server := &listen.Server{Address: e.Address, Batch: e.handleFrame, Calls: e.methods(), Log: e.Log}
 	if err := server.Listen(); err != nil {
 		return err
 	}
--- a/role/entry/fleet.go
+++ b/role/entry/fleet.go
@@ -52,13 +52,13 @@
 		update.Entries = entries
 	}
 	if len(update.GetEntries()) > 0 || update.GetTerm() > beat.GetTerm() {
-		e.links.Update(to.Address, update)
+		e.links.News(to.Address, update)
 	}
 }
 
 // reportOf converts a load report for the view.
-func reportOf(l *wire.Load) route.LoadReport {
-	return route.LoadReport{
+func reportOf(l *wire.Load) route.Report {
+	return route.Report{
 		Sessions: int(l.GetSessions()), Limit: int(l.GetLimit()), Batch: int(l.GetBatch()),
 		Step: time.Duration(l.GetStepMicros()) * time.Microsecond,
 	}
--- a/role/entry/flight.go
+++ b/role/entry/flight.go
@@ -387,7 +387,7 @@
 		f.mayHaveRun = true
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return f.report(outcome.DeadlineExceeded, "the deadline has passed")
+		return f.report(outcome.DeadlineOver, "the deadline has passed")
 	}
 	return f.report(outcome.CallerGone, "the caller has hung up")
 }
--- a/role/entry/flight_test.go
+++ b/role/entry/flight_test.go
@@ -22,7 +22,7 @@
 // startLab starts a lab with one entry and the given number of copies of a chain of two stages.
 func startLab(t *testing.T, copies int, adjust func(*entry.Entry)) *lab.Lab {
 	l := &lab.Lab{
-		Entries: []lab.Entry{{Name: "entry", Hall: "h"}}, Service: "m", Layers: 4,
+		Entries: []lab.EntryConfig{{Name: "entry", Hall: "h"}}, Service: "m", Layers: 4,
 		Teams: map[string]float64{"t": 1}, Log: zerolog.Nop(), Adjust: adjust,
 	}
 	for i := range copies {
--- a/role/entry/follow.go
+++ b/role/entry/follow.go
@@ -35,7 +35,7 @@
 		for _, address := range e.syncTargets() {
 			e.syncWith(ctx, address)
 		}
-		pause := e.SyncInterval/2 + rand.N(e.SyncInterval)
+		pause := e.Sync/2 + rand.N(e.Sync)
 		select {
 		case <-ctx.Done():
 			return
@@ -73,7 +73,7 @@
 
 // syncWith requests changes from one peer.
 func (e *Entry) syncWith(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, e.SyncInterval+time.Second)
+	ctx, cancel := context.WithTimeout(ctx, e.Sync+time.Second)
 	defer cancel()
 	reply := new(wire.SyncReply)
 	e.mu.Lock()
@@ -121,7 +121,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(e.SyncInterval):
+		case <-time.After(e.Sync):
 		}
 	}
 }
@@ -132,7 +132,7 @@
 	defer cancel()
 	go func() {
 		for ctx.Err() == nil && e.isWatcher() {
-			time.Sleep(e.SyncInterval)
+			time.Sleep(e.Sync)
 		}
 		cancel()
 	}()
@@ -172,8 +172,8 @@
 		}
 	}
 	e.mu.Lock()
-	e.peers.SetListed(time.Now(), peers)
-	changed := e.view.SetLeavingHosts(leaving)
+	e.peers.ApplyHostList(time.Now(), peers)
+	changed := e.view.ApplyHostList(leaving)
 	e.mu.Unlock()
 	if changed {
 		e.rebuild()
--- a/role/entry/lead.go
+++ b/role/entry/lead.go
@@ -98,11 +98,11 @@
 func (e *Entry) plan(ctx context.Context, term uint64) {
 	snapshot := e.snapshot.Load()
 	current := e.config.Current()
-	hosts := make([]place.IdleEndpoint, 0, len(snapshot.Idle))
+	hosts := make([]place.Host, 0, len(snapshot.Idle))
 	idle := make(map[string]fleet.Endpoint)
 	for _, ep := range snapshot.Idle {
 		idle[ep.Name] = ep
-		hosts = append(hosts, place.IdleEndpoint{Name: ep.Name, Allowed: func(service string) bool {
+		hosts = append(hosts, place.Host{Name: ep.Name, Allowed: func(service string) bool {
 			return current.Policies.MayPlace(policy.Host{Hall: ep.Hall, Service: service})
 		}})
 	}
@@ -110,7 +110,7 @@
 		return
 	}
 	for _, o := range (place.Planner{}).Plan(e.models(), hosts) {
-		e.order(ctx, term, idle[o.Endpoint], o)
+		e.order(ctx, term, idle[o.Host], o)
 	}
 }
 
@@ -122,7 +122,7 @@
 		if service.Value.Kind != config.Model {
 			continue
 		}
-		m := place.Model{Service: name, Layers: service.Value.Layers, LayersPerEngine: service.Value.LayersPerEngine}
+		m := place.Model{Service: name, Layers: service.Value.Layers, PerEngine: service.Value.LayersPerEngine}
 		if table := snapshot.Models[name]; table != nil {
 			for _, c := range table.Candidates {
 				m.Held = append(m.Held, flow.Edge{Layers: c.Endpoint.Layers, Capacity: 1})
@@ -141,7 +141,7 @@
 		First: uint32(o.Layers.First), End: uint32(o.Layers.End), Giver: e.Name,
 	}, reply)
 	e.raiseTerm(reply.GetTerm())
-	e.Log.Info().Uint64("term", term).Str("endpoint", o.Endpoint).Str("service", o.Service).
+	e.Log.Info().Uint64("term", term).Str("endpoint", o.Host).Str("service", o.Service).
 		Stringer("layers", o.Layers).Float64("gain", o.Gain).Bool("accepted", reply.GetAccepted()).
 		Str("detail", reply.GetDetail()).AnErr("error", err).Msg("order given")
 }
--- a/role/gate/gate.go
+++ b/role/gate/gate.go
@@ -145,7 +145,7 @@
 	defer g.mu.Unlock()
 	if l.queue.Remove(item) {
 		var zero G
-		return zero, outcome.Refuse(outcome.DeadlineExceeded, "gone or out of time while waiting for room", l.retryAfter())
+		return zero, outcome.Refuse(outcome.DeadlineOver, "gone or out of time while waiting for room", l.retryAfter())
 	}
 	r := <-item.Value.result
 	return r.grant, r.report
--- a/role/gate/gate_test.go
+++ b/role/gate/gate_test.go
@@ -128,7 +128,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		_, report := g.Enter(ctx, new(slots).ticket("a"))
-		require.Equal(t, outcome.DeadlineExceeded, report.Code)
+		require.Equal(t, outcome.DeadlineOver, report.Code)
 		require.Equal(t, outcome.NotRun, report.Kind)
 		require.Zero(t, g.Waiting())
 	})
--- a/role/gateway/admission.go
+++ b/role/gateway/admission.go
@@ -13,7 +13,7 @@
 func (q *query) waiting() admission.Request {
 	return admission.Request{
 		Service: q.service.Name, Team: q.team, Priority: maxPriority - q.priority,
-		RouteTimeout: q.route.Timeout, CallerTimeout: q.Timeout, Objective: objective(q.route),
+		RouteTimeout: q.route.Timeout, CallerTimeout: q.CallerTimeout, Objective: objective(q.route),
 		Start: q.start, Deadline: q.deadline, Retried: q.returned, Begun: q.everReached.Load(),
 	}
 }
--- a/role/gateway/digest.go
+++ b/role/gateway/digest.go
@@ -20,7 +20,7 @@
 		Proven:         g.loaded.Load() && !g.failing.Load(),
 		ProofAgeMillis: uint32(max(g.proofAge().Milliseconds(), 0)),
 		Leading:        g.leading.Load(),
-		Cut:            g.feed.StoreFailedRecently(now),
+		Cut:            g.feed.Cut(now),
 		Suspects:       g.quarantine.Reports(now),
 	}
 	if others == nil { // a hall's digest does not repeat what its gateways say themselves
@@ -45,7 +45,7 @@
 		if d.GetLeading() {
 			b.use.addOrder(use, now)
 		}
-		g.throttling.AddToUse(use, &b.use.intake, others[id], others != nil, now)
+		g.throttling.AddToDigest(use, &b.use.intake, others[id], others != nil, now)
 		if isEmptyUse(use) {
 			continue
 		}
@@ -61,14 +61,14 @@
 	at := now.UnixNano()
 	latest := max(u.checkedAt.Load(), u.othersCheckedAt.Load())
 	return u.active.Load() == 0 && u.held.Load() == 0 && !u.down() && at >= u.stalledUntil.Load() &&
-		at-latest >= int64(checkReportTime) && u.pendingOrder.Load() == nil && !u.intake.Reportable(now)
+		at-latest >= int64(checkReportTime) && u.pendingOrder.Load() == nil && !u.intake.ReportsLimit(now)
 }
 
 // digestEntry returns the digest entry of an endpoint at now, plus the use by others; checked is
 // when it last passed a check, in nanoseconds of Unix time.
 func (u *usage) digestEntry(now time.Time, others peers.Usage, checked int64) *gossip.Use {
 	s := peers.Usage{
-		Active: u.active.Load(), Entered: u.entered.Load(), Held: u.held.Load(), Prefilling: u.reading.Load(),
+		Active: u.active.Load(), Entered: u.entered.Load(), Held: u.held.Load(), Reading: u.reading.Load(),
 	}
 	if u.down() && now.UnixNano()-u.silentAt.Load() < int64(reportFresh) {
 		s.Down = 1
@@ -76,7 +76,7 @@
 	s = s.Plus(others)
 	use := &gossip.Use{
 		Active: uint32(max(s.Active, 0)), Entered: uint32(max(s.Entered, 0)), Held: uint64(max(s.Held, 0)),
-		Reading: uint32(max(s.Prefilling, 0)), Down: uint32(max(s.Down, 0)),
+		Reading: uint32(max(s.Reading, 0)), Down: uint32(max(s.Down, 0)),
 		AvoidedMillis: uint32(max((u.stalledUntil.Load()-now.UnixNano())/int64(time.Millisecond), 0)),
 	}
 	if age := now.UnixNano() - checked; age < int64(checkReportTime) {
@@ -102,11 +102,11 @@
 
 // HandleDigest handles a digest of another gateway, or of another hall.
 func (g *Gateway) HandleDigest(d *gossip.Digest, now time.Time) {
-	g.membership.HearDigest(d, now)
+	g.membership.HandleReport(d, now)
 	f := g.fleet.Load()
 	g.quarantine.HearReports(d.GetSuspects(), d.GetGateway(), now)
 	if d.GetMembers() == 0 {
-		g.partition.Hear(d.GetGateway(), d.GetOutage(), now)
+		g.partition.HandleReport(d.GetGateway(), d.GetOutage(), now)
 	}
 	if d.GetLeading() {
 		g.leaderHeardAt.Store(now.UnixNano())
--- a/role/gateway/fleet.go
+++ b/role/gateway/fleet.go
@@ -135,7 +135,7 @@
 	u.othersActive.Add(s.Active)
 	u.othersEntered.Add(s.Entered)
 	u.othersHeld.Add(s.Held)
-	u.othersReading.Add(s.Prefilling)
+	u.othersReading.Add(s.Reading)
 	u.othersDown.Add(s.Down)
 }
 
--- a/role/gateway/follow.go
+++ b/role/gateway/follow.go
@@ -28,7 +28,7 @@
 // follow keeps the gateway's view of the store current until ctx ends.
 func (g *Gateway) follow(ctx context.Context) {
 	m := mirror.Mirror{
-		Feed: &g.feed, Wait: g.policy().WatchTimeout(), MinInterval: min(changesSettle, g.policy().WatchTimeout()), Grace: lapseGrace,
+		Feed: &g.feed, WatchTimeout: g.policy().WatchTimeout(), MinInterval: min(changesSettle, g.policy().WatchTimeout()), Grace: lapseGrace,
 		Now: g.Clock, Refresh: g.refreshed, Put: g.put, Removed: g.gone, ConfirmPartial: g.partial, Unhurried: g.fleetStarting, Unproven: g.unproven, Confirm: g.confirm,
 		Log: g.Log,
 		StoreFailed: func(err error) {
@@ -42,7 +42,7 @@
 
 // put handles a key-value pair of the store.
 func (g *Gateway) put(p kv.Pair) {
-	if p.Key == g.Records.Catalog {
+	if p.Key == g.Decoders.Catalog {
 		g.configure(p)
 		return
 	}
@@ -63,15 +63,15 @@
 		g.Log.Info().Msg("nobody gives orders")
 		return
 	}
-	if g.announcer.Removed(key, revision) || g.quarantine.Gone(key, time.Now()) {
+	if g.announcer.Removed(key, revision) || g.quarantine.Removed(key, time.Now()) {
 		return
 	}
-	g.membership.Gone(key, revision)
+	g.membership.Removed(key, revision)
 }
 
 // configure puts a configuration in force, unless a later one already is.
 func (g *Gateway) configure(p kv.Pair) {
-	c, err := g.Records.DecodeCatalog(p.Value)
+	c, err := g.Decoders.DecodeCatalog(p.Value)
 	if err != nil {
 		g.Log.Error().Err(err).Uint64("revision", p.Revision).Msg("configuration not understood, the previous one stays in force")
 		return
@@ -117,7 +117,7 @@
 // confirm records that everything written to the store up to the given time is known.
 func (g *Gateway) confirm(sent time.Time) {
 	g.rebuild()
-	g.Meter.StoreRevision(g.cache.At())
+	g.Meter.Store(g.cache.At())
 	g.read.Store(true)
 	if g.failing.Swap(false) || !g.loaded.Load() {
 		g.currentSince.Store(time.Now().UnixNano())
--- a/role/gateway/gateway.go
+++ b/role/gateway/gateway.go
@@ -76,8 +76,8 @@
 	LinkRate float64
 	// Store holds the configuration, the records of endpoints and the state on which gateways must
 	// agree. Records decodes the entries that others write there.
-	Store   Store
-	Records Decoders
+	Store    Store
+	Decoders Decoders
 	// Dialect translates headers, Runners gives orders to endpoints.
 	Dialect exchange.Dialect
 	Runners runner.Control
@@ -94,8 +94,8 @@
 	// Clock reads the clock that measures the age of freshness proofs: it continues while the host
 	// is suspended. Nil means the clock of the host.
 	Clock func() time.Time
-	// Silence returns why a question to an endpoint is given up, see probe.Prober.
-	Silence func(answered <-chan struct{}) error
+	// AwaitAnswer returns why a question to an endpoint is given up, see probe.Prober.
+	AwaitAnswer func(answered <-chan struct{}) error
 	// Meter counts the gateway's operations.
 	Meter Meter
 
@@ -131,7 +131,7 @@
 	feed   watchcache.Feed
 	cache  watchcache.Cache
 	probes probe.Prober
-	lines  lines.Limiter
+	lines  lines.LinkLimiter
 
 	// leading is set while this gateway gives orders, hasLeaderKey while the store holds the key of
 	// any leader.
@@ -169,7 +169,7 @@
 	g.initMembership()
 	g.initPartition()
 	g.peers.Counter = g.counter
-	g.probes.Control, g.probes.AwaitAnswer, g.probes.Reference = g.Runners, g.Silence, g.reference
+	g.probes.Control, g.probes.AwaitAnswer, g.probes.Reference = g.Runners, g.AwaitAnswer, g.reference
 	g.initGossip()
 	g.initThrottling()
 	g.initQuarantine()
--- a/role/gateway/handler.go
+++ b/role/gateway/handler.go
@@ -67,7 +67,7 @@
 // admit checks a request and reports whether it is to be served. When it returns false it has
 // answered the request.
 func (g *Gateway) admit(q *query) bool {
-	ask, err := g.Dialect.CallerHeaders(q.r.Header)
+	ask, err := g.Dialect.RequestHeaders(q.r.Header)
 	q.RequestHeaders = ask
 	if err != nil || ask.ID == "" {
 		g.reject(q, http.StatusBadRequest, "the request has no ID, or a header that cannot be read")
@@ -91,7 +91,7 @@
 	q.print = fingerprint.Of(fingerprint.Request{
 		Method: q.r.Method, Host: q.r.Host, Target: q.r.RequestURI, Team: q.team, Body: q.body,
 	})
-	q.deadline = q.start.Add(requestTimeout(q.Timeout, route.Timeout))
+	q.deadline = q.start.Add(requestTimeout(q.CallerTimeout, route.Timeout))
 	q.service = c.Services[route.Service(xxhash.Sum64String(q.ID))]
 	if q.service == nil {
 		g.refuse(q, retryAfterStore, "the service of the route is not configured")
@@ -154,7 +154,7 @@
 	if q.r.Body == nil || q.r.Body == http.NoBody {
 		return true
 	}
-	maxBytes := limits.MaxBodyBytes
+	maxBytes := limits.BodyBytes
 	if maxBytes <= 0 {
 		maxBytes = defaultMaxBody
 	}
@@ -264,8 +264,8 @@
 		line = line.Str("endpoint", q.last.ID).Uint64("record_revision", q.last.Revision).
 			Dur("record_age_ms", q.sentAt.Sub(q.last.Since))
 	}
-	if q.route != nil && q.Timeout > 0 { // for a caller that retries: the time that its earlier attempts took
-		line = line.Dur("under_route_ms", max(q.route.Timeout-q.Timeout, 0))
+	if q.route != nil && q.CallerTimeout > 0 { // for a caller that retries: the time that its earlier attempts took
+		line = line.Dur("under_route_ms", max(q.route.Timeout-q.CallerTimeout, 0))
 	}
 	if q.service != nil && q.service.Model != nil {
 		line = line.Dur("waited_ms", q.waited).Int("ahead", q.ahead).Bool("returned", q.returned)
--- a/role/gateway/intake.go
+++ b/role/gateway/intake.go
@@ -10,7 +10,7 @@
 
 // initThrottling sets up the handling of the limits and backoff periods that endpoints ask for.
 func (g *Gateway) initThrottling() {
-	g.throttling = throttling.Throttling{Name: g.Name, Peers: &g.peers, DigestInterval: g.gossip.Interval, OnLeaving: g.handleLeaving, Log: g.Log}
+	g.throttling = throttling.Throttling{Name: g.Name, Peers: &g.peers, DigestInterval: g.gossip.DigestInterval, OnLeaving: g.handleLeaving, Log: g.Log}
 }
 
 // maxLoggedHeld bounds the endpoints that the log entry of a request names as not accepting it.
@@ -34,7 +34,7 @@
 		hold := t.Held(now)
 		q.held = append(q.held, fmt.Sprintf("%s %s limit=%.3g share=%.3g wanted=%.3g",
 			b.ID, hold, t.Limit().Rate, t.Share(), t.Demand(now)))
-		g.Meter.HeldBack(string(hold))
+		g.Meter.Held(string(hold))
 	}
 	q.searched = true
 }
--- a/role/gateway/isolation.go
+++ b/role/gateway/isolation.go
@@ -88,7 +88,7 @@
 func fingerprints(begun []suspects.Begun) []string {
 	list := make([]string, 0, len(begun))
 	for _, b := range begun {
-		list = append(list, b.Fingerprint.String())
+		list = append(list, b.Print.String())
 	}
 	return list
 }
--- a/role/gateway/leader.go
+++ b/role/gateway/leader.go
@@ -168,7 +168,7 @@
 
 // holdsAny reports whether any card holds layers.
 func holdsAny(cards []spread.Card) bool {
-	return slices.ContainsFunc(cards, func(c spread.Card) bool { return !c.Layers.Empty() })
+	return slices.ContainsFunc(cards, func(c spread.Card) bool { return !c.AssignedLayers.Empty() })
 }
 
 // orders gives the orders of a plan, several concurrently. It returns false when another leader has
@@ -202,14 +202,14 @@
 			continue
 		}
 		c := spread.Card{
-			ID: b.ID, Hall: b.Hall, Kind: b.Card, Layers: b.Layers,
+			ID: b.ID, Hall: b.Hall, Kind: b.Card, AssignedLayers: b.Layers,
 			InUse: b.use.active.Load()+b.use.othersActive.Load() > 0,
 		}
 		if order := b.use.pendingOrder.Load(); order != nil {
 			if b.Layers == order.layers || now.After(order.until) {
 				b.use.pendingOrder.CompareAndSwap(order, nil)
 			} else {
-				c.Layers, c.Fixed = order.layers, true
+				c.AssignedLayers, c.Fixed = order.layers, true
 			}
 		}
 		cards = append(cards, c)
--- a/role/gateway/loss_test.go
+++ b/role/gateway/loss_test.go
@@ -261,7 +261,7 @@
 	starved := new(atomic.Bool)
 	cards := []*site.Endpoint{card("card-0", "north"), card("card-1", "north")}
 	w := newFixtureWith(t, func(g *gateway.Gateway) {
-		g.Silence = func(answered <-chan struct{}) error {
+		g.AwaitAnswer = func(answered <-chan struct{}) error {
 			if starved.Load() {
 				return probe.ErrUncertain
 			}
@@ -311,7 +311,7 @@
 	w := newFixtureWith(t, func(g *gateway.Gateway) {
 		u = &starvedControl{Control: g.Runners}
 		g.Runners = u
-		g.Silence = func(answered <-chan struct{}) error {
+		g.AwaitAnswer = func(answered <-chan struct{}) error {
 			if u.on.Load() {
 				return probe.ErrUncertain
 			}
--- a/role/gateway/malformed_test.go
+++ b/role/gateway/malformed_test.go
@@ -45,7 +45,7 @@
 	w := newFixture(t, e)
 	s := &ingress.Server{
 		Address: freeTCP(t), Handler: w.gateway, Limits: func() ingress.Limits {
-			return ingress.Limits{MaxHeaderBytes: w.gateway.CallerLimits().MaxHeaderBytes}
+			return ingress.Limits{MaxHeaderBytes: w.gateway.CallerLimits().HeaderBytes}
 		},
 		ErrorLog: log.New(io.Discard, "", 0),
 	}
--- a/role/gateway/members.go
+++ b/role/gateway/members.go
@@ -22,8 +22,8 @@
 func (g *Gateway) initMembership() {
 	g.members.usage = make(map[string]*usage)
 	g.membership = membership.Membership{
-		ID: g.Records.EndpointID, Decode: g.Records.DecodeEndpoint, Log: g.Log,
-		OnRemoved: g.dropped, OnRestarted: g.restarted, OnOverruled: g.rebuild,
+		ID: g.Decoders.EndpointID, Decode: g.Decoders.DecodeEndpoint, Log: g.Log,
+		OnRemoved: g.dropped, Restarted: g.restarted, OnOverruled: g.rebuild,
 	}
 }
 
--- a/role/gateway/meter.go
+++ b/role/gateway/meter.go
@@ -20,13 +20,13 @@
 	Digest(bytes int, dropped bool)
 	// Order counts an order, by its result.
 	Order(result string)
-	// HeldBack counts a request that an endpoint does not accept for now, by the reason.
-	HeldBack(reason string)
+	// Held counts a request that an endpoint does not accept for now, by the reason.
+	Held(reason string)
 	// Endpoints records how many endpoints take new work, and how many are leaving, as known to this
 	// gateway.
 	Endpoints(open, leaving int)
-	// StoreRevision records the revision up to which the store is known.
-	StoreRevision(revision uint64)
+	// Store records the revision up to which the store is known.
+	Store(revision uint64)
 	// Quarantine counts an event of the quarantine.
 	Quarantine(event string)
 }
--- a/role/gateway/quarantine.go
+++ b/role/gateway/quarantine.go
@@ -13,7 +13,7 @@
 func (g *Gateway) initQuarantine() {
 	g.quarantine = quarantine.Quarantine{
 		Self: g.Name, Keepers: func(key string) []overlay.Member { return g.gossip.Overlay().Keepers(key) },
-		SendEnds: g.gossip.ReportEnds, SendDigestSoon: g.gossip.SendSoon, HasEnded: g.incarnationOver, Store: g.Store, Count: g.Meter.Quarantine, Log: g.Log,
+		SendEnds: g.gossip.ReportEnds, SendSoon: g.gossip.SendSoon, HasEnded: g.incarnationOver, Store: g.Store, Count: g.Meter.Quarantine, Log: g.Log,
 	}
 	g.quarantine.Init()
 }
@@ -50,7 +50,7 @@
 	}
 	g.verify(q.r.Context(), b)
 	if b.use.ended.Load() {
-		g.quarantine.Report(b.incarnation(), []suspects.Begun{{Fingerprint: q.print, TriedIsolated: q.isolatedAt() == b.ID}}, time.Now())
+		g.quarantine.Report(b.incarnation(), []suspects.Begun{{Print: q.print, Tried: q.isolatedAt() == b.ID}}, time.Now())
 	}
 }
 
--- a/role/gateway/seat.go
+++ b/role/gateway/seat.go
@@ -166,7 +166,7 @@
 
 // peerFlow returns how the other gateways use the endpoints of a service.
 func (g *Gateway) peerFlow(service string) unseen.Usage {
-	return unseen.Usage{ReportInterval: g.gossip.Interval(), HoldTime: g.queue.Times.Duration(service)}
+	return unseen.Usage{ReportInterval: g.gossip.DigestInterval(), RequestDuration: g.queue.Times.RequestDuration(service)}
 }
 
 // maxHeldPicks is the number of endpoints at their announced limit that a search may pick, so that
--- a/role/gateway/share.go
+++ b/role/gateway/share.go
@@ -21,8 +21,8 @@
 func (g *Gateway) initFeed() {
 	g.feed = watchcache.Feed{
 		Store: g.Store, Source: watchhttp.NewClient(), Sources: g.sources, Cache: &g.cache, Log: g.Log,
-		Age:       func() time.Duration { return g.proofAge() },
-		OverdueIn: func() time.Duration { return g.policy().TimeUntilLate(g.proofAge()) },
+		Age:           func() time.Duration { return g.proofAge() },
+		TimeUntilLate: func() time.Duration { return g.policy().TimeUntilLate(g.proofAge()) },
 	}
 }
 
--- a/role/gateway/survey.go
+++ b/role/gateway/survey.go
@@ -43,7 +43,7 @@
 // found by the first late event.
 func (g *Gateway) ask(ctx context.Context, b *backend) {
 	begun := time.Now()
-	report, err := g.probes.Report(ctx, b.Address)
+	report, err := g.probes.Query(ctx, b.Address)
 	if err != nil {
 		g.Log.Debug().Str("endpoint", b.ID).Err(err).Msg("endpoint returned no report")
 		return
--- a/role/gateway/suspect.go
+++ b/role/gateway/suspect.go
@@ -172,7 +172,7 @@
 		return true
 	}
 	begun := time.Now()
-	report, err := g.probes.ReportSince(context.Background(), b.Address, since)
+	report, err := g.probes.QuerySince(context.Background(), b.Address, since)
 	now := time.Now()
 	switch {
 	case errors.Is(err, probe.ErrUncertain):
@@ -361,7 +361,7 @@
 
 // recheck asks an endpoint that is down for its report, and uses it again when it gives one.
 func (g *Gateway) recheck(ctx context.Context, b *backend) {
-	report, err := g.probes.Report(ctx, b.Address)
+	report, err := g.probes.Query(ctx, b.Address)
 	if errors.Is(err, probe.ErrUncertain) {
 		g.Meter.Check(checkStarved)
 		return
--- a/role/gateway/try.go
+++ b/role/gateway/try.go
@@ -28,7 +28,7 @@
 
 // attempt is one send of a request.
 type attempt struct {
-	answer *upstream.Response
+	answer *upstream.Answer
 	reply  exchange.ReplyHeaders
 	verdict
 	// err is the reason why there is no proper answer.
@@ -50,14 +50,14 @@
 	q.last, q.sentAt = b, time.Now()
 	q.reached.Store(false)
 	header := q.r.Header.Clone()
-	g.Dialect.ForwardHeaders(header, exchange.EndpointHeaders{
+	g.Dialect.EndpointHeaders(header, exchange.EndpointHeaders{
 		Team: q.team, TimeLeft: q.timeLeft(time.Now()), Endpoint: b.ID, Priority: q.priority, Chain: c, LastEvent: after,
 	})
 	call := upstream.Call{
 		Address: b.Address, Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host, Header: header,
 		Body: q.body, HasBody: q.hasBody, MaxIdle: maxConnIdle, BeforeWrite: func() { q.reached.Store(true) },
 		Matches: func(h http.Header) bool {
-			id := g.Dialect.AnswerHeaders(0, h).ID
+			id := g.Dialect.ReplyHeaders(0, h).ID
 			return id == q.ID || id == "" // a refusal need not carry the request ID
 		},
 	}
@@ -69,11 +69,11 @@
 		return g.sendFailed(ctx, q, b, err)
 	}
 	q.everReached.Store(true)
-	t := attempt{answer: answer, reply: g.Dialect.AnswerHeaders(answer.Status, answer.Header)}
+	t := attempt{answer: answer, reply: g.Dialect.ReplyHeaders(answer.Status, answer.Header)}
 	g.noteLoad(b, t.reply)
 	t.reply.Report.Sent, t.reply.Report.Received = q.sentAt, time.Now()
 	if isOwnReport(t) {
-		g.throttling.Hear(b.ID, &b.use.intake, t.reply.Report)
+		g.throttling.ApplyAnnouncement(b.ID, &b.use.intake, t.reply.Report)
 	}
 	switch {
 	case t.reply.NotRun:
--- a/role/gateway/watchers.go
+++ b/role/gateway/watchers.go
@@ -22,7 +22,7 @@
 	var list []suspects.Begun
 	for _, w := range s.Values() {
 		if w.justStarted(now) {
-			list = append(list, suspects.Begun{Fingerprint: w.relay.q.print, TriedIsolated: w.runsIsolated(endpoint)})
+			list = append(list, suspects.Begun{Print: w.relay.q.print, Tried: w.runsIsolated(endpoint)})
 		}
 	}
 	return list
--- a/role/gateway/world_test.go
+++ b/role/gateway/world_test.go
@@ -108,7 +108,7 @@
 	g := &gateway.Gateway{
 		Name: name, Hall: "north", Address: freePort(w.t),
 		Store: platform.NewStore(store, metrics.StoreCall),
-		Records: gateway.Decoders{
+		Decoders: gateway.Decoders{
 			Catalog: platform.ConfigKey, DecodeCatalog: platform.DecodeCatalog,
 			EndpointID: platform.EndpointID, DecodeEndpoint: platform.DecodeEndpoint,
 		},
--- a/role/gossip/gossip.go
+++ b/role/gossip/gossip.go
@@ -162,10 +162,10 @@
 // round sends the digests that are due at now, and returns the time until the next round.
 func (s *Gossip) round(now time.Time) time.Duration {
 	s.Local.Tick(now)
-	s.Peers.MarkAbsent(now, max(missedDigestsAnnounced*s.Interval(), minAbsence))
+	s.Peers.MarkAbsent(now, max(missedDigestsAnnounced*s.DigestInterval(), minAbsence))
 	d := s.digest(now, nil, 0)
-	d.EveryMillis = uint32(s.Interval().Milliseconds())
-	o := overlay.Overlay{Self: s.Self, Others: s.Peers.Members(s.Self.Name), FlatUpTo: s.FlatFleetSize}
+	d.EveryMillis = uint32(s.DigestInterval().Milliseconds())
+	o := overlay.Overlay{Self: s.Self, Others: s.Peers.Members(s.Self.Name), FlatFleetSize: s.FlatFleetSize}
 	o.Self.StoreUnreachable = d.GetCut()
 	s.current.Store(&o)
 	interval := hallInterval * time.Duration(max(len(o.DigestPeers()), overlay.FlatSize)) / overlay.FlatSize
@@ -179,8 +179,8 @@
 	return interval
 }
 
-// Interval returns the time between two digests to the gateways of the own hall.
-func (s *Gossip) Interval() time.Duration {
+// DigestInterval returns the time between two digests to the gateways of the own hall.
+func (s *Gossip) DigestInterval() time.Duration {
 	return max(time.Duration(s.interval.Load()), hallInterval)
 }
 
@@ -324,7 +324,7 @@
 	for _, use := range d.GetUses() {
 		r.Shares[use.GetEndpoint()] = peers.Usage{
 			Active: int64(use.GetActive()), Entered: int64(use.GetEntered()), Held: int64(use.GetHeld()),
-			Prefilling: int64(use.GetReading()), Down: int64(use.GetDown()), Wanted: int64(use.GetWantedMillis()),
+			Reading: int64(use.GetReading()), Down: int64(use.GetDown()), Wanted: int64(use.GetWantedMillis()),
 		}
 	}
 	if !s.Peers.AddReport(r, s.Self, now) {
--- a/role/gossip/scale_test.go
+++ b/role/gossip/scale_test.go
@@ -148,7 +148,7 @@
 	d := new(wire.Digest)
 	add := func(endpoint string, s peers.Usage) {
 		d.Uses = append(d.Uses, &wire.Use{
-			Endpoint: endpoint, Active: uint32(s.Active), Held: uint64(s.Held), Reading: uint32(s.Prefilling), Down: uint32(s.Down),
+			Endpoint: endpoint, Active: uint32(s.Active), Held: uint64(s.Held), Reading: uint32(s.Reading), Down: uint32(s.Down),
 		})
 	}
 	if others != nil {
@@ -158,7 +158,7 @@
 		return d
 	}
 	for i, endpoint := range h.uses {
-		s := peers.Usage{Active: 3, Held: 20000, Prefilling: 1}
+		s := peers.Usage{Active: 3, Held: 20000, Reading: 1}
 		if i == 0 && h.down.Load() {
 			s.Down = 1
 		}
--- a/role/membership/membership.go
+++ b/role/membership/membership.go
@@ -20,9 +20,9 @@
 	// ID returns the endpoint whose record has the given key in the store, and Decode decodes a record.
 	ID     func(key string) (string, bool)
 	Decode func(id string, text []byte) (endpoint.Endpoint, error)
-	// OnRemoved is called with the last record of an endpoint that no longer has one, OnRestarted with the last
+	// OnRemoved is called with the last record of an endpoint that no longer has one, Restarted with the last
 	// record of an incarnation that another one has replaced.
-	OnRemoved, OnRestarted func(roster.Record)
+	OnRemoved, Restarted func(roster.Record)
 	// OnOverruled is called when another gateway has reported the departure of an endpoint whose record does
 	// not show it.
 	OnOverruled func()
@@ -56,19 +56,19 @@
 		return
 	case roster.Restarted:
 		m.Log.Info().Str("endpoint", id).Int64("born", e.Born).Int64("former", former.Born).Msg("endpoint has started again")
-		m.OnRestarted(former)
+		m.Restarted(former)
 	}
 	m.Log.Info().Str("endpoint", id).Int64("born", e.Born).Str("service", e.Service).Str("address", e.Address).Str("hall", e.Hall).
 		Bool("leaving", e.Leaving).Stringer("layers", e.Layers).Str("card", e.Card).
 		Uint64("revision", p.Revision).Uint64("former_revision", former.Revision).Msg("endpoint changed")
-	if left := m.Roster.Departure(id); !e.Leaving && left.Covers(e, p.Revision) {
+	if left := m.Roster.DepartureOf(id); !e.Leaving && left.Covers(e, p.Revision) {
 		m.Log.Warn().Str("endpoint", id).Int64("born", e.Born).Uint64("revision", p.Revision).Uint64("left_revision", left.Revision).
 			Bool("announced", left.Announced).Msg("record of an endpoint that has left does not show it, endpoint gets no new work")
 	}
 }
 
-// Gone processes the removal of a key from the store at a revision if the key was the record of an endpoint.
-func (m *Membership) Gone(key string, revision uint64) {
+// Removed processes the removal of a key from the store at a revision if the key was the record of an endpoint.
+func (m *Membership) Removed(key string, revision uint64) {
 	id, ok := m.ID(key)
 	if !ok {
 		return
@@ -99,9 +99,9 @@
 	}
 }
 
-// HearDigest processes the departures that another gateway reports: this gateway's copy of the store may be behind.
+// HandleReport processes the departures that another gateway reports: this gateway's copy of the store may be behind.
 // A report of one gateway is enough, since it holds what the store says and not a conclusion.
-func (m *Membership) HearDigest(d *gossip.Digest, now time.Time) {
+func (m *Membership) HandleReport(d *gossip.Digest, now time.Time) {
 	overruled := false
 	for _, reported := range d.GetDepartures() {
 		n := roster.DepartureReport{
--- a/role/quarantine/quarantine.go
+++ b/role/quarantine/quarantine.go
@@ -66,8 +66,8 @@
 	// Keepers returns the gateways that count the ends of the request with the given key.
 	Keepers func(key string) []overlay.Member
 	// SendEnds sends a datagram to gateways, News causes a digest to be sent soon.
-	SendEnds       func(e *wire.Ends, to ...overlay.Member)
-	SendDigestSoon func()
+	SendEnds func(e *wire.Ends, to ...overlay.Member)
+	SendSoon func()
 	// HasEnded reports whether an incarnation of an endpoint has certainly ended. If it may still be
 	// running, HasEnded has it checked.
 	HasEnded func(suspects.Incarnation) bool
@@ -128,12 +128,12 @@
 func (q *Quarantine) Report(incarnation suspects.Incarnation, begun []suspects.Begun, now time.Time) {
 	for _, b := range begun {
 		q.Count(eventEnd)
-		if _, keeps := q.keeperRank(b.Fingerprint); keeps {
-			q.record(b.Fingerprint, suspects.End{Incarnation: incarnation, TriedIsolated: b.TriedIsolated}, now)
+		if _, keeps := q.keeperRank(b.Print); keeps {
+			q.record(b.Print, suspects.End{Incarnation: incarnation, Tried: b.Tried}, now)
 			continue
 		}
 		// Only the keepers hear when the request completes elsewhere, so this count expires.
-		q.known.AddReport(b.Fingerprint, q.known.Ends(b.Fingerprint, now)+1, true, now, now.Add(reportLifetime))
+		q.known.AddReport(b.Print, q.known.Ends(b.Print, now)+1, true, now, now.Add(reportLifetime))
 	}
 	q.notifyKeepers(incarnation, begun)
 }
@@ -156,7 +156,7 @@
 // Completed notes that a request has completed.
 func (q *Quarantine) Completed(f fingerprint.Fingerprint, now time.Time) {
 	if q.known.Clear(f, now) {
-		q.notifyKeepers(suspects.Incarnation{}, []suspects.Begun{{Fingerprint: f}})
+		q.notifyKeepers(suspects.Incarnation{}, []suspects.Begun{{Print: f}})
 	}
 }
 
@@ -164,7 +164,7 @@
 func (q *Quarantine) notifyKeepers(incarnation suspects.Incarnation, begun []suspects.Begun) {
 	to := make(map[string]message)
 	for _, b := range begun {
-		for _, m := range q.Keepers(b.Fingerprint.String()) {
+		for _, m := range q.Keepers(b.Print.String()) {
 			if m.Name == q.Self {
 				continue
 			}
@@ -172,9 +172,9 @@
 				to[m.Name] = message{&wire.Ends{Gateway: q.Self, Endpoint: incarnation.Endpoint, Born: incarnation.Born}, m}
 			}
 			ends := to[m.Name].ends
-			ends.Prints = append(ends.Prints, uint64(b.Fingerprint))
-			if b.TriedIsolated {
-				ends.Tried = append(ends.Tried, uint64(b.Fingerprint))
+			ends.Prints = append(ends.Prints, uint64(b.Print))
+			if b.Tried {
+				ends.Tried = append(ends.Tried, uint64(b.Print))
 			}
 		}
 	}
@@ -194,7 +194,7 @@
 			continue
 		}
 		incarnation := suspects.Incarnation{Endpoint: e.GetEndpoint(), Born: e.GetBorn()}
-		q.record(fingerprint.Fingerprint(p), suspects.End{Incarnation: incarnation, TriedIsolated: slices.Contains(e.GetTried(), p)}, now)
+		q.record(fingerprint.Fingerprint(p), suspects.End{Incarnation: incarnation, Tried: slices.Contains(e.GetTried(), p)}, now)
 	}
 }
 
@@ -231,14 +231,14 @@
 func (q *Quarantine) record(f fingerprint.Fingerprint, e suspects.End, now time.Time) {
 	ends := q.known.Note(f, e, now)
 	if len(ends) == reportFrom {
-		q.SendDigestSoon() // the request is isolated once all gateways know
+		q.SendSoon() // the request is isolated once all gateways know
 	}
 	q.evaluate(f, ends, now)
 }
 
 // enough reports whether ends show that the request causes them.
 func enough(ends []suspects.End) bool {
-	isolated := slices.ContainsFunc(ends, func(e suspects.End) bool { return e.TriedIsolated })
+	isolated := slices.ContainsFunc(ends, func(e suspects.End) bool { return e.Tried })
 	return len(ends) >= minEndsUnisolated || isolated && len(ends) >= minEnds
 }
 
@@ -263,12 +263,12 @@
 		return
 	}
 	delete(q.unconfirmed, f)
-	if !q.known.Quarantine(f, now, now.Add(quarantineTime)) {
+	if !q.known.SetQuarantine(f, now, now.Add(quarantineTime)) {
 		return
 	}
 	q.Count(eventBegun)
 	q.Log.Warn().Stringer("print", f).Strs("ended", formatEnds(confirmed)).Dur("lasts_ms", quarantineTime).Msg("request is quarantined")
-	q.SendDigestSoon()
+	q.SendSoon()
 	q.write(f)
 }
 
@@ -277,7 +277,7 @@
 	list := make([]string, 0, len(ends))
 	for _, e := range ends {
 		text := e.String()
-		if e.TriedIsolated {
+		if e.Tried {
 			text += " (tried apart)"
 		}
 		list = append(list, text)
@@ -291,7 +291,7 @@
 	reports := make([]*wire.Suspect, 0, len(list))
 	for _, s := range list {
 		reports = append(reports, &wire.Suspect{
-			Print: uint64(s.Fingerprint), Ends: uint32(s.Ends), LeftMillis: uint32(s.QuarantineLeft.Milliseconds()), Recent: s.Recent,
+			Print: uint64(s.Print), Ends: uint32(s.Ends), LeftMillis: uint32(s.QuarantineLeft.Milliseconds()), Recent: s.Recent,
 		})
 	}
 	return reports
@@ -313,7 +313,7 @@
 
 // adopt quarantines a request on the report of another gateway or of the store.
 func (q *Quarantine) adopt(f fingerprint.Fingerprint, left time.Duration, from string, now time.Time) {
-	if !q.known.Quarantine(f, now, now.Add(left)) {
+	if !q.known.SetQuarantine(f, now, now.Add(left)) {
 		return
 	}
 	q.Count(eventReported)
--- a/role/quarantine/quarantine_test.go
+++ b/role/quarantine/quarantine_test.go
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	n := &node{f: f, cancel: cancel, begun: time.Now()}
 	n.Quarantine = &quarantine.Quarantine{
-		Self: name(index), Keepers: f.keepers(index), SendEnds: n.sendEnds, SendDigestSoon: func() {}, HasEnded: f.over, Store: f,
+		Self: name(index), Keepers: f.keepers(index), SendEnds: n.sendEnds, SendSoon: func() {}, HasEnded: f.over, Store: f,
 		Count: func(string) {}, Log: zerolog.Nop(),
 	}
 	n.Init()
@@ -228,7 +228,7 @@
 		f.ended[incarnation] = time.Now()
 		f.mu.Unlock()
 		time.Sleep(time.Duration(20+f.intN(100)) * time.Millisecond)
-		n.Report(incarnation, []suspects.Begun{{Fingerprint: request, TriedIsolated: isolated}}, time.Now())
+		n.Report(incarnation, []suspects.Begun{{Print: request, Tried: isolated}}, time.Now())
 	}
 	return sends
 }
--- a/role/quarantine/store.go
+++ b/role/quarantine/store.go
@@ -105,9 +105,9 @@
 	return true
 }
 
-// Gone processes the removal of a key, and reports whether it was that of a quarantined request. A request
+// Removed processes the removal of a key, and reports whether it was that of a quarantined request. A request
 // whose lease expired too early is written again.
-func (q *Quarantine) Gone(key string, now time.Time) bool {
+func (q *Quarantine) Removed(key string, now time.Time) bool {
 	f, ok := parseKey(key)
 	if !ok {
 		return strings.HasPrefix(key, keyPrefix)
--- a/role/throttling/throttling.go
+++ b/role/throttling/throttling.go
@@ -41,14 +41,14 @@
 	Log       zerolog.Logger
 }
 
-// Hear processes the limit, backoff period and departure that an endpoint sent with an answer.
-func (t *Throttling) Hear(endpoint string, i *intake.Intake, w throttle.Report) {
+// ApplyAnnouncement processes the limit, backoff period and departure that an endpoint sent with an answer.
+func (t *Throttling) ApplyAnnouncement(endpoint string, i *intake.Intake, w throttle.Report) {
 	before, after := i.ApplyAnnouncement(w)
 	if after.Unreadable() && !before.Unreadable() { // log once: the header may come with each answer
 		t.Log.Warn().Str("endpoint", endpoint).Str("header", w.Unreadable).Msg("a header of an endpoint is not understood, and not heeded")
 	}
 	if w.RetryAfter > 0 {
-		t.Log.Info().Str("endpoint", endpoint).Dur("rest_ms", w.RetryAfter).Time("until", after.BackoffUntil()).Msg("endpoint asks for rest")
+		t.Log.Info().Str("endpoint", endpoint).Dur("rest_ms", w.RetryAfter).Time("until", after.RetryAfter()).Msg("endpoint asks for rest")
 	}
 	t.applyChange(endpoint, i, before, after, w.Received)
 }
@@ -67,9 +67,9 @@
 	t.applyChange(endpoint, i, before, after, now)
 }
 
-// AddToUse adds to use what other gateways need to know of the endpoint's limit, and the demand of this gateway
+// AddToDigest adds to use what other gateways need to know of the endpoint's limit, and the demand of this gateway
 // plus that of the others in the given share.
-func (t *Throttling) AddToUse(use *gossip.Use, i *intake.Intake, others peers.Usage, forHall bool, now time.Time) {
+func (t *Throttling) AddToDigest(use *gossip.Use, i *intake.Intake, others peers.Usage, forHall bool, now time.Time) {
 	known := i.Load()
 	use.WantedMillis = uint32(max(others.Wanted+int64(known.Demand(now)*peers.WantedUnit), 0))
 	limit := known.Limit()
@@ -108,7 +108,7 @@
 	own := known.Claim(now, propagationDigests*t.DigestInterval())
 	share := apportion.Division{
 		Key: endpoint, Limit: known.Limit().Rate, Fleet: t.Peers.Size(), Individual: near, HallSums: far, EvenShare: apportion.DefaultEvenShare,
-		Own: apportion.Claim{Name: t.Name, Members: 1, Demand: own},
+		Own: apportion.Claim{Name: t.Name, Members: 1, Wanted: own},
 	}.Share()
 	i.SetShare(share, now)
 	return share
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -21,8 +21,8 @@
 
 // Service is the stand-in for a plain service. Set the exported fields before the first use.
 type Service struct {
-	// Duration is the duration of a call. A call counts as run when it starts.
-	Duration time.Duration
+	// CallDuration is the duration of a call. A call counts as run when it starts.
+	CallDuration time.Duration
 
 	mu   sync.Mutex
 	runs []Run
@@ -40,7 +40,7 @@
 	s.runs = append(s.runs, run)
 	number := len(s.runs)
 	s.mu.Unlock()
-	time.Sleep(s.Duration)
+	time.Sleep(s.CallDuration)
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = fmt.Fprintf(w, `{"run":%d,"echo":%q}`, number, body)
 }
--- a/standin/site/says.go
+++ b/standin/site/says.go
@@ -27,8 +27,8 @@
 	e.signals, e.limitSentAt = s, time.Time{}
 }
 
-// Signals returns what the endpoint reports in its answers.
-func (e *Endpoint) Signals() Signals {
+// CurrentSignals returns what the endpoint reports in its answers.
+func (e *Endpoint) CurrentSignals() Signals {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.signals
--- a/state/intake/intake.go
+++ b/state/intake/intake.go
@@ -115,8 +115,8 @@
 	return from, known, leave
 }
 
-// Reportable reports whether the known limit is to be reported to other gateways at now.
-func (i *Intake) Reportable(now time.Time) bool {
+// ReportsLimit reports whether the known limit is to be reported to other gateways at now.
+func (i *Intake) ReportsLimit(now time.Time) bool {
 	t := i.current.Load()
 	return t != nil && t.ReportsLimit(now)
 }
--- a/state/lines/lines.go
+++ b/state/lines/lines.go
@@ -20,15 +20,15 @@
 	burstTime = 4 * time.Second
 )
 
-// Limiter bounds the traffic of this gateway across halls. The zero Limiter is ready to use.
-type Limiter struct {
+// LinkLimiter bounds the traffic of this gateway across halls. The zero LinkLimiter is ready to use.
+type LinkLimiter struct {
 	limiter rate.Limiter
 }
 
 // Allow takes the capacity for sending the given number of tokens across halls from this gateway's
 // share of the links, and reports whether enough was left. It always reports true for a model
 // without a link rate or an amount of data per token.
-func (l *Limiter) Allow(m *catalog.Model, tokens, gateways int) bool {
+func (l *LinkLimiter) Allow(m *catalog.Model, tokens, gateways int) bool {
 	if m.LinkRate <= 0 || m.TransferPerToken <= 0 {
 		return true
 	}
--- a/state/lines/lines_test.go
+++ b/state/lines/lines_test.go
@@ -15,11 +15,11 @@
 // without a known rate is not limited.
 func TestLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var free lines.Limiter
+		var free lines.LinkLimiter
 		require.True(t, free.Allow(new(catalog.Model), 1<<30, 5))
 		m := &catalog.Model{LinkRate: 1e6, TransferPerToken: 1000}
 		taken := func(gateways int) int {
-			var l lines.Limiter
+			var l lines.LinkLimiter
 			l.Allow(m, 1, gateways)
 			time.Sleep(time.Minute)
 			n := 0
--- a/state/mirror/mirror.go
+++ b/state/mirror/mirror.go
@@ -28,9 +28,9 @@
 	Feed kv.Feed
 	// Prefix selects the keys, empty for all.
 	Prefix string
-	// Wait is how long one request for changes waits. It bounds the age of the last freshness
+	// WatchTimeout is how long one request for changes waits. It bounds the age of the last freshness
 	// proof while nothing changes.
-	Wait time.Duration
+	WatchTimeout time.Duration
 	// MinInterval is the least time between the starts of two requests, so that changes in quick
 	// succession arrive together. It does not apply to pages with Paced set.
 	MinInterval time.Duration
@@ -214,7 +214,7 @@
 		}
 	}
 	m.at, m.lag, m.paced = r.at, 0, false
-	m.overdue = !r.proves() || time.Since(r.begun) > m.Wait
+	m.overdue = !r.proves() || time.Since(r.begun) > m.WatchTimeout
 	m.fullRead = nil
 	if !r.proves() {
 		m.Log.Info().Int("keys", len(r.seen)).Uint64("revision", r.at).Uint64("first_page", r.first).
@@ -259,7 +259,7 @@
 
 // follow requests changes once and applies them.
 func (m *Mirror) follow(ctx context.Context) error {
-	wait := m.Wait
+	wait := m.WatchTimeout
 	if m.failures > 0 || m.overdue {
 		wait = 0 // detect the store's return, or its continued silence, at once
 	}
--- a/state/mirror/mirror_test.go
+++ b/state/mirror/mirror_test.go
@@ -173,7 +173,7 @@
 func copyOf(t *testing.T, f *feed) map[string]string {
 	held := make(map[string]string)
 	m := &mirror.Mirror{
-		Feed: f, Wait: time.Second, MinInterval: 300 * time.Millisecond, Grace: grace, Log: zerolog.Nop(),
+		Feed: f, WatchTimeout: time.Second, MinInterval: 300 * time.Millisecond, Grace: grace, Log: zerolog.Nop(),
 		Put:         func(p kv.Pair) { held[p.Key] = string(p.Value) },
 		Removed:     func(key string, _ uint64) { delete(held, key) },
 		Confirm:     func(time.Time) {},
@@ -352,7 +352,7 @@
 		var held int
 		var partial, confirmed []time.Duration
 		m := &mirror.Mirror{
-			Feed: f, Wait: time.Second, Log: zerolog.Nop(), StoreFailed: func(error) {},
+			Feed: f, WatchTimeout: time.Second, Log: zerolog.Nop(), StoreFailed: func(error) {},
 			Put: func(kv.Pair) { held++ }, Removed: func(string, uint64) {},
 			ConfirmPartial: func(proven time.Time) {
 				require.Equal(t, begun, proven)
@@ -391,7 +391,7 @@
 		newest := time.Now()
 		held := make(map[string]string)
 		m := &mirror.Mirror{
-			Feed: f, Wait: time.Second, MinInterval: 300 * time.Millisecond, Log: zerolog.Nop(),
+			Feed: f, WatchTimeout: time.Second, MinInterval: 300 * time.Millisecond, Log: zerolog.Nop(),
 			Put:     func(p kv.Pair) { held[p.Key] = string(p.Value) },
 			Removed: func(key string, _ uint64) { delete(held, key) },
 			Confirm: func(proven time.Time) {
@@ -423,7 +423,7 @@
 		}
 		begun, confirmed := time.Now(), time.Time{}
 		m := &mirror.Mirror{
-			Feed: f, Wait: time.Second, Log: zerolog.Nop(), Put: func(kv.Pair) {}, Removed: func(string, uint64) {},
+			Feed: f, WatchTimeout: time.Second, Log: zerolog.Nop(), Put: func(kv.Pair) {}, Removed: func(string, uint64) {},
 			Confirm: func(proven time.Time) {
 				if confirmed.IsZero() {
 					confirmed = proven
@@ -452,7 +452,7 @@
 				f.compact()
 				held := make(map[string]string)
 				m := &mirror.Mirror{
-					Feed: f, Wait: time.Second, MinInterval: time.Second, Log: zerolog.Nop(), Confirm: func(time.Time) {},
+					Feed: f, WatchTimeout: time.Second, MinInterval: time.Second, Log: zerolog.Nop(), Confirm: func(time.Time) {},
 					Put: func(p kv.Pair) { held[p.Key] = string(p.Value) }, Removed: func(string, uint64) {}, StoreFailed: func(error) {},
 					Unhurried: func() bool { return unhurried },
 				}
@@ -481,7 +481,7 @@
 				newest, confirmed, partial := time.Now(), false, false
 				held := make(map[string]string)
 				m := &mirror.Mirror{
-					Feed: f, Wait: time.Second, MinInterval: time.Second, Log: zerolog.Nop(), Removed: func(string, uint64) {}, StoreFailed: func(error) {},
+					Feed: f, WatchTimeout: time.Second, MinInterval: time.Second, Log: zerolog.Nop(), Removed: func(string, uint64) {}, StoreFailed: func(error) {},
 					Put:       func(p kv.Pair) { held[p.Key] = string(p.Value) },
 					Unhurried: func() bool { return unhurried },
 					Unproven: func(readings int) (time.Duration, bool) {
--- a/state/outages/outages_test.go
+++ b/state/outages/outages_test.go
@@ -27,15 +27,15 @@
 func TestPartial(t *testing.T) {
 	now := time.Now()
 	o := outages.Outages{ReportLifetime: time.Second}
-	require.True(t, o.AddReport("a", 7, now))
-	require.False(t, o.AddReport("a", 7, now.Add(500*time.Millisecond)))
+	require.True(t, o.HandleReport("a", 7, now))
+	require.False(t, o.HandleReport("a", 7, now.Add(500*time.Millisecond)))
 	require.Empty(t, o.NotOfStore(now.Add(-time.Millisecond), now), "sent before the report")
 	require.Equal(t, []uint64{7}, o.NotOfStore(now.Add(time.Millisecond), now.Add(time.Second)))
-	require.True(t, o.AddReport("a", 9, now.Add(time.Second)), "another outage")
+	require.True(t, o.HandleReport("a", 9, now.Add(time.Second)), "another outage")
 	require.Empty(t, o.NotOfStore(now.Add(time.Millisecond), now.Add(time.Second)))
 	require.True(t, o.Any(now.Add(time.Second)))
 	require.False(t, o.Any(now.Add(3*time.Second)), "no report since")
-	o.AddReport("b", 5, now)
-	o.AddReport("b", 0, now)
+	o.HandleReport("b", 5, now)
+	o.HandleReport("b", 0, now)
 	require.False(t, o.Any(now), "the outage is over")
 }
--- a/state/peers/share.go
+++ b/state/peers/share.go
@@ -6,9 +6,9 @@
 // Usage is the use of an endpoint by one or several gateways.
 type Usage struct {
 	// Active is the number of requests at the endpoint. Of these, Entered is the number whose chain
-	// begins there, and Prefilling the number whose prompt is still being processed. Held is the
+	// begins there, and Reading the number whose prompt is still being processed. Held is the
 	// memory of all of them, in tokens times layers.
-	Active, Entered, Held, Prefilling int64
+	Active, Entered, Held, Reading int64
 	// Down is the number of gateways that recently got no answer from the endpoint.
 	Down int64
 	// Wanted is the rate of requests that would begin at the endpoint while it announces a limit,
@@ -20,14 +20,14 @@
 func (s Usage) Plus(t Usage) Usage {
 	return Usage{
 		Active: s.Active + t.Active, Entered: s.Entered + t.Entered, Held: s.Held + t.Held,
-		Prefilling: s.Prefilling + t.Prefilling, Down: s.Down + t.Down, Wanted: s.Wanted + t.Wanted,
+		Reading: s.Reading + t.Reading, Down: s.Down + t.Down, Wanted: s.Wanted + t.Wanted,
 	}
 }
 
 // Negated returns the negative share, which undoes adding s.
 func (s Usage) Negated() Usage {
 	return Usage{
-		Active: -s.Active, Entered: -s.Entered, Held: -s.Held, Prefilling: -s.Prefilling, Down: -s.Down, Wanted: -s.Wanted,
+		Active: -s.Active, Entered: -s.Entered, Held: -s.Held, Reading: -s.Reading, Down: -s.Down, Wanted: -s.Wanted,
 	}
 }
 
--- a/state/peers/table.go
+++ b/state/peers/table.go
@@ -242,7 +242,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for key, e := range t.reports {
-		c := apportion.Claim{Name: key.Name, Members: max(e.Members, 1), Demand: float64(e.Shares[endpoint].Wanted) / WantedUnit}
+		c := apportion.Claim{Name: key.Name, Members: max(e.Members, 1), Wanted: float64(e.Shares[endpoint].Wanted) / WantedUnit}
 		if key.Name != "" {
 			near = append(near, c)
 		} else {
--- a/state/roster/departures.go
+++ b/state/roster/departures.go
@@ -34,8 +34,8 @@
 	Age time.Duration
 }
 
-// Departure returns the departure of an endpoint, the zero Departure if there is none.
-func (r *Roster) Departure(id string) departure.Departure {
+// DepartureOf returns the departure of an endpoint, the zero DepartureOf if there is none.
+func (r *Roster) DepartureOf(id string) departure.Departure {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.departures[id].Departure
--- a/state/runonce/runner.go
+++ b/state/runonce/runner.go
@@ -45,16 +45,16 @@
 
 // Reservations makes reservations at endpoints.
 type Reservations interface {
-	// Reserve waits for a reservation at an endpoint that is not in avoid. The caller
+	// Enter waits for a reservation at an endpoint that is not in avoid. The caller
 	// ends the reservation with leave.
-	Reserve(ctx context.Context, avoid map[string]bool) (at fleet.Endpoint, leave func(), report *outcome.Report)
+	Enter(ctx context.Context, avoid map[string]bool) (at fleet.Endpoint, leave func(), report *outcome.Report)
 }
 
 // Runner runs one call. Set the exported fields, then call Run.
 type Runner struct {
-	Claims Claimer
-	Agents Agents
-	Seats  Reservations
+	Claims       Claimer
+	Agents       Agents
+	Reservations Reservations
 	// MayRetry takes one retry from the budget and reports whether there was one.
 	MayRetry func() bool
 	// Key is the hash of the idempotency key, Digest that of the request.
@@ -98,7 +98,7 @@
 	r.avoid = make(map[string]bool)
 	former := ""
 	for why := "least loaded"; ; {
-		at, leave, report := r.Seats.Reserve(ctx, r.avoid)
+		at, leave, report := r.Reservations.Enter(ctx, r.avoid)
 		if report != nil {
 			return nil, report
 		}
@@ -112,7 +112,7 @@
 		}
 		former, why = notRunID, reply.GetDetail()
 		if ctx.Err() != nil {
-			return nil, outcome.Refuse(outcome.DeadlineExceeded, ctx.Err().Error(), retryAfter)
+			return nil, outcome.Refuse(outcome.DeadlineOver, ctx.Err().Error(), retryAfter)
 		}
 		if r.sent && !r.MayRetry() {
 			return nil, outcome.Refuse(outcome.RetryExceeded, why, retryAfter)
--- a/state/runonce/runner_test.go
+++ b/state/runonce/runner_test.go
@@ -43,7 +43,7 @@
 	return &wire.CallReply{Outcome: wire.CallReply_NOT_RUN}, nil
 }
 
-func (r *rival) Reserve(context.Context, map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
+func (r *rival) Enter(context.Context, map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
 	return fleet.Endpoint{Name: "a"}, func() {}, nil
 }
 
@@ -54,7 +54,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := &rival{claims: 6}
 		runner := runonce.Runner{
-			Claims: r, Agents: r, Seats: r, MayRetry: func() bool { return false }, Key: "k", Shared: true,
+			Claims: r, Agents: r, Reservations: r, MayRetry: func() bool { return false }, Key: "k", Shared: true,
 		}
 		previous := time.Now()
 		reply, report := runner.Run(context.Background())
@@ -74,7 +74,7 @@
 func TestSecondSendUsesRetryBudget(t *testing.T) {
 	r := &refusing{rival: &rival{}}
 	runner := runonce.Runner{
-		Claims: r, Agents: r, Seats: r, MayRetry: func() bool { return false }, Key: "k", Shared: true,
+		Claims: r, Agents: r, Reservations: r, MayRetry: func() bool { return false }, Key: "k", Shared: true,
 	}
 	_, report := runner.Run(context.Background())
 	require.Equal(t, outcome.RetryExceeded, report.Code)
--- a/state/streams/times.go
+++ b/state/streams/times.go
@@ -33,7 +33,7 @@
 	return firstMargin * t.first.Get(service).Mean()
 }
 
-// Duration returns the average duration of a stream, 0 if none has ended yet.
-func (t *Times) Duration(service string) time.Duration {
+// RequestDuration returns the average duration of a stream, 0 if none has ended yet.
+func (t *Times) RequestDuration(service string) time.Duration {
 	return t.total.Get(service).Mean()
 }
--- a/state/suspects/suspects.go
+++ b/state/suspects/suspects.go
@@ -45,22 +45,22 @@
 
 // Begun is a request that an endpoint had just begun to run when it ended.
 type Begun struct {
-	Fingerprint fingerprint.Fingerprint
-	// TriedIsolated is set if the request was already suspect and was tried in isolation from all other
+	Print fingerprint.Fingerprint
+	// Tried is set if the request was already suspect and was tried in isolation from all other
 	// suspects.
-	TriedIsolated bool
+	Tried bool
 }
 
 // End is the end of an incarnation during a request.
 type End struct {
 	Incarnation
-	// TriedIsolated is the value from Begun.
-	TriedIsolated bool
+	// Tried is the value from Begun.
+	Tried bool
 }
 
 // Suspect describes a suspect request.
 type Suspect struct {
-	Fingerprint fingerprint.Fingerprint
+	Print fingerprint.Fingerprint
 	// Ends is the number of incarnations that have ended during it.
 	Ends int
 	// QuarantineLeft is the time left of its quarantine, 0 if it is not quarantined.
@@ -115,7 +115,7 @@
 	known := slices.IndexFunc(r.ends, func(o End) bool { return o.Incarnation == e.Incarnation })
 	switch {
 	case known >= 0:
-		r.ends[known].TriedIsolated = r.ends[known].TriedIsolated || e.TriedIsolated
+		r.ends[known].Tried = r.ends[known].Tried || e.Tried
 	case len(r.ends) < maxEnds:
 		r.ends = append(r.ends, e)
 	}
@@ -179,8 +179,8 @@
 	return 0
 }
 
-// Quarantine quarantines a request until a given time, and reports whether this started a new quarantine.
-func (s *Suspects) Quarantine(f fingerprint.Fingerprint, now, until time.Time) bool {
+// SetQuarantine quarantines a request until a given time, and reports whether this started a new quarantine.
+func (s *Suspects) SetQuarantine(f fingerprint.Fingerprint, now, until time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.record(f, now)
@@ -231,7 +231,7 @@
 	defer s.mu.Unlock()
 	var list []Suspect
 	for f, r := range s.records {
-		one := Suspect{Fingerprint: f, QuarantineLeft: max(r.quarantinedUntil.Sub(now), 0), Recent: now.Sub(r.at) < recentTime}
+		one := Suspect{Print: f, QuarantineLeft: max(r.quarantinedUntil.Sub(now), 0), Recent: now.Sub(r.at) < recentTime}
 		if now.Sub(r.at) <= s.Retention {
 			one.Ends = len(r.ends) // own count only: gateways that echo each other's counts would keep them alive forever
 		}
@@ -240,7 +240,7 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b Suspect) int {
-		return cmp.Or(cmp.Compare(b.QuarantineLeft, a.QuarantineLeft), cmp.Compare(b.Ends, a.Ends), cmp.Compare(a.Fingerprint, b.Fingerprint))
+		return cmp.Or(cmp.Compare(b.QuarantineLeft, a.QuarantineLeft), cmp.Compare(b.Ends, a.Ends), cmp.Compare(a.Print, b.Print))
 	})
 	return list[:min(len(list), limit)]
 }
--- a/state/suspects/suspects_test.go
+++ b/state/suspects/suspects_test.go
@@ -29,7 +29,7 @@
 	require.Len(t, s.Note(1, end("a", 2), at(2)), 2)
 	require.Zero(t, s.Ends(2, at(2)), "another request")
 	tried := end("a", 2)
-	tried.TriedIsolated = true
+	tried.Tried = true
 	s.Note(1, tried, at(3))
 	require.Equal(t, []suspects.End{end("a", 1), tried}, s.Note(1, end("a", 2), at(4)), "noted as tried and as not tried")
 }
@@ -57,8 +57,8 @@
 func TestQuarantine(t *testing.T) {
 	t.Parallel()
 	s := suspects.Suspects{Retention: time.Minute}
-	require.True(t, s.Quarantine(1, at(0), at(60)))
-	require.False(t, s.Quarantine(1, at(1), at(99)), "already quarantined")
+	require.True(t, s.SetQuarantine(1, at(0), at(60)))
+	require.False(t, s.SetQuarantine(1, at(1), at(99)), "already quarantined")
 	require.Equal(t, 20*time.Second, s.QuarantineLeft(1, at(40)))
 	require.False(t, s.Clear(1, at(41)))
 	require.Zero(t, s.QuarantineLeft(1, at(60)))
@@ -83,9 +83,9 @@
 		s.Note(1, end(id, 1), at(0))
 	}
 	s.Note(2, end("a", 1), at(0))
-	s.Quarantine(3, at(0), at(30))
+	s.SetQuarantine(3, at(0), at(30))
 	require.Equal(t, []suspects.Suspect{
-		{Fingerprint: 3, QuarantineLeft: 20 * time.Second}, {Fingerprint: 1, Ends: 2},
+		{Print: 3, QuarantineLeft: 20 * time.Second}, {Print: 1, Ends: 2},
 	}, s.List(2, 10, at(10)))
 	require.Len(t, s.List(1, 10, at(10)), 3)
 	require.Len(t, s.List(1, 2, at(10)), 2)
@@ -95,7 +95,7 @@
 func TestRecordsAreBounded(t *testing.T) {
 	t.Parallel()
 	s := suspects.Suspects{Retention: time.Minute}
-	s.Quarantine(1, at(0), at(1000))
+	s.SetQuarantine(1, at(0), at(1000))
 	for i := range 20_000 {
 		s.Note(fingerprint.Fingerprint(i+2), end("a", 1), at(i/1000))
 	}
--- a/state/watchcache/cache.go
+++ b/state/watchcache/cache.go
@@ -216,9 +216,9 @@
 	}
 }
 
-// Query answers a request of another gateway, at once if there are changes or a sufficiently newer
+// Fetch answers a request of another gateway, at once if there are changes or a sufficiently newer
 // proof, and otherwise as soon as there are. It returns ErrNoNews if there are none within q.Wait.
-func (c *Cache) Query(ctx context.Context, q Request) (Answer, error) {
+func (c *Cache) Fetch(ctx context.Context, q Request) (Answer, error) {
 	start := c.now()
 	timer := time.NewTimer(q.Wait)
 	defer timer.Stop()
--- a/state/watchcache/feed.go
+++ b/state/watchcache/feed.go
@@ -51,7 +51,7 @@
 
 // Source queries another gateway.
 type Source interface {
-	Query(ctx context.Context, address string, q Request) (Answer, error)
+	Fetch(ctx context.Context, address string, q Request) (Answer, error)
 }
 
 // Feed is a kv.Feed that queries other gateways where possible, and the store otherwise.
@@ -68,9 +68,9 @@
 	// queries the store itself. If standby is set, it also queries the store when none of them has
 	// an answer.
 	Sources func() (addresses []string, standby bool)
-	// Age returns the age of this gateway's freshness proof. OverdueIn returns the time until the
+	// Age returns the age of this gateway's freshness proof. TimeUntilLate returns the time until the
 	// proof is overdue, which bounds the wait for another gateway's answer.
-	Age, OverdueIn func() time.Duration
+	Age, TimeUntilLate func() time.Duration
 	// Cache holds what other gateways may request from this one.
 	Cache *Cache
 	Log   zerolog.Logger
@@ -116,9 +116,9 @@
 
 var _ kv.Feed = (*Feed)(nil)
 
-// StoreFailedRecently reports whether a call of this gateway to the store failed recently, so that other gateways
+// Cut reports whether a call of this gateway to the store failed recently, so that other gateways
 // should query the store instead.
-func (f *Feed) StoreFailedRecently(now time.Time) bool {
+func (f *Feed) Cut(now time.Time) bool {
 	return now.UnixNano()-f.failed.Load() < int64(failureWindow)
 }
 
@@ -223,9 +223,9 @@
 	for _, address := range f.silent.last(addresses, time.Now()) {
 		q := Request{After: revision, Age: f.Age()}
 		if wait > 0 {
-			q.Wait = max(f.OverdueIn(), minPeerWait)
+			q.Wait = max(f.TimeUntilLate(), minPeerWait)
 		}
-		answer, err := f.Source.Query(ctx, address, q)
+		answer, err := f.Source.Fetch(ctx, address, q)
 		if err == nil {
 			f.logSource(address, nil)
 			return f.applyRelayed(address, answer, revision, sent)
@@ -256,7 +256,7 @@
 func (f *Feed) mayAskStore(leaveToOthers bool, now time.Time) bool {
 	next, interval := &f.next, fallbackInterval
 	if leaveToOthers {
-		if f.OverdueIn() > -staleFallbackAfter {
+		if f.TimeUntilLate() > -staleFallbackAfter {
 			return false
 		}
 		if !f.proven && f.nextStale.IsZero() {
--- a/state/watchcache/feed_test.go
+++ b/state/watchcache/feed_test.go
@@ -43,15 +43,15 @@
 	return &watchcache.Feed{
 		Store: s, Source: from, Cache: new(watchcache.Cache), Log: zerolog.Nop(),
 		Sources: func() ([]string, bool) { return addresses, true },
-		Age:     func() time.Duration { return time.Second }, OverdueIn: func() time.Duration { return time.Second },
+		Age:     func() time.Duration { return time.Second }, TimeUntilLate: func() time.Duration { return time.Second },
 	}
 }
 
 // cacheSource is a Source that answers from a cache, whatever the address.
 type cacheSource struct{ cache *watchcache.Cache }
 
-func (a cacheSource) Query(ctx context.Context, _ string, q watchcache.Request) (watchcache.Answer, error) {
-	return a.cache.Query(ctx, q)
+func (a cacheSource) Fetch(ctx context.Context, _ string, q watchcache.Request) (watchcache.Answer, error) {
+	return a.cache.Fetch(ctx, q)
 }
 
 // When the store has compacted its history, only the gateway that queries it needs a full read. A
@@ -111,7 +111,7 @@
 		}
 		require.GreaterOrEqual(t, s.asked, 4)
 		require.LessOrEqual(t, s.asked, 11)
-		require.True(t, feed.StoreFailedRecently(time.Now()))
+		require.True(t, feed.Cut(time.Now()))
 	})
 }
 
@@ -143,7 +143,7 @@
 	cache := watchcache.Cache{Now: func() time.Time { return now }}
 	cache.Reset(5, now, 0)
 	now = now.Add(10 * time.Second) // no code ran in between
-	answer, err := cache.Query(t.Context(), watchcache.Request{After: 5, Age: time.Minute, Wait: time.Second})
+	answer, err := cache.Fetch(t.Context(), watchcache.Request{After: 5, Age: time.Minute, Wait: time.Second})
 	require.NoError(t, err)
 	require.Equal(t, 10*time.Second, answer.Age)
 }
@@ -179,8 +179,8 @@
 		require.NoError(t, err)
 		require.Equal(t, 300*time.Millisecond, time.Since(begun))
 		require.Equal(t, -300*time.Millisecond, page.Lag)
-		require.False(t, feed.StoreFailedRecently(time.Now()))
-		answer, err := feed.Cache.Query(t.Context(), watchcache.Request{Age: time.Minute})
+		require.False(t, feed.Cut(time.Now()))
+		answer, err := feed.Cache.Fetch(t.Context(), watchcache.Request{Age: time.Minute})
 		require.NoError(t, err)
 		require.Zero(t, answer.Age, "the proof belongs to the second request")
 	})
@@ -189,11 +189,11 @@
 // halfDead is a Source in which the gateway "dead" does not answer.
 type halfDead struct{ cacheSource }
 
-func (h halfDead) Query(ctx context.Context, address string, q watchcache.Request) (watchcache.Answer, error) {
+func (h halfDead) Fetch(ctx context.Context, address string, q watchcache.Request) (watchcache.Answer, error) {
 	if address == "dead" {
 		return watchcache.Answer{}, errLost
 	}
-	return h.cacheSource.Query(ctx, address, q)
+	return h.cacheSource.Fetch(ctx, address, q)
 }
 
 // A watch may miss a change and still answer with a later revision. Gateways that query this one
@@ -236,7 +236,7 @@
 	stale.scan = kv.Page{Pairs: []kv.Pair{{Key: "b", Revision: 2}}, At: 5}
 	_, err = feed.ScanStale(t.Context(), "", "a")
 	require.NoError(t, err)
-	_, err = feed.Cache.Query(t.Context(), watchcache.Request{Age: time.Minute})
+	_, err = feed.Cache.Fetch(t.Context(), watchcache.Request{Age: time.Minute})
 	require.ErrorIs(t, err, watchcache.ErrNotDirect, "stale pages yield no proof")
 
 	page, err := feed.Changes(t.Context(), "", 5, 0)
@@ -263,7 +263,7 @@
 
 	// Other gateways also receive the changes that the pages contained beyond the revision of the
 	// read.
-	answer, err := feed.Cache.Query(t.Context(), watchcache.Request{After: 5, Age: time.Minute})
+	answer, err := feed.Cache.Fetch(t.Context(), watchcache.Request{After: 5, Age: time.Minute})
 	require.NoError(t, err)
 	require.Len(t, answer.Pairs, 2)
 }
@@ -280,13 +280,13 @@
 		now = now.Add(time.Millisecond)
 		cache.Add(kv.Page{Pairs: []kv.Pair{{Key: fmt.Sprint("endpoint-", i), Value: value, Revision: i + 1}}, At: i + 1}, now, true, 0)
 	}
-	answer, err := cache.Query(t.Context(), watchcache.Request{Age: time.Minute})
+	answer, err := cache.Fetch(t.Context(), watchcache.Request{Age: time.Minute})
 	require.NoError(t, err)
 	require.Len(t, answer.Pairs, 1000)
 
 	now = now.Add(10 * time.Second)
 	cache.Add(kv.Page{Pairs: []kv.Pair{{Key: "another", Revision: 1001}}, At: 1001}, now, true, 0)
-	_, err = cache.Query(t.Context(), watchcache.Request{Age: time.Minute})
+	_, err = cache.Fetch(t.Context(), watchcache.Request{Age: time.Minute})
 	require.ErrorIs(t, err, watchcache.ErrNotRetained, "older changes are bounded in bytes")
 }
 
@@ -299,7 +299,7 @@
 		page := kv.Page{Pairs: []kv.Pair{{Key: "configuration", Value: make([]byte, 80<<10), Revision: i + 1}}, At: i + 1}
 		cache.Add(page, time.Now(), true, 0)
 	}
-	answer, err := cache.Query(t.Context(), watchcache.Request{Age: time.Minute})
+	answer, err := cache.Fetch(t.Context(), watchcache.Request{Age: time.Minute})
 	require.NoError(t, err)
 	require.Len(t, answer.Pairs, 1)
 	require.EqualValues(t, 20, answer.Pairs[0].Revision)
@@ -319,7 +319,7 @@
 		require.ErrorAs(t, err, &unasked)
 		require.Zero(t, s.asked)
 
-		feed.OverdueIn = func() time.Duration { return -time.Second }
+		feed.TimeUntilLate = func() time.Duration { return -time.Second }
 		for begun := time.Now(); time.Since(begun) < 20*time.Second; time.Sleep(300 * time.Millisecond) {
 			_, _ = feed.Changes(t.Context(), "", 5, time.Second) // only the number of calls matters
 		}
@@ -331,7 +331,7 @@
 // recordingSource is a Source that records the addresses queried and never answers.
 type recordingSource struct{ list []string }
 
-func (h *recordingSource) Query(_ context.Context, address string, _ watchcache.Request) (watchcache.Answer, error) {
+func (h *recordingSource) Fetch(_ context.Context, address string, _ watchcache.Request) (watchcache.Answer, error) {
 	h.list = append(h.list, address)
 	if address == "dead" {
 		return watchcache.Answer{}, errLost
@@ -374,7 +374,7 @@
 		_, err := feed.Changes(t.Context(), "", 5, time.Second)
 		require.NoError(t, err)
 		require.LessOrEqual(t, time.Since(begun), 1300*time.Millisecond)
-		require.False(t, feed.StoreFailedRecently(time.Now()))
+		require.False(t, feed.Cut(time.Now()))
 	})
 }
 
@@ -389,6 +389,6 @@
 		var compacted *kv.CompactedError
 		require.ErrorAs(t, err, &compacted)
 		require.LessOrEqual(t, time.Since(begun), 1600*time.Millisecond)
-		require.False(t, feed.StoreFailedRecently(time.Now()))
+		require.False(t, feed.Cut(time.Now()))
 	})
 }
--- a/state/watchcache/proof_test.go
+++ b/state/watchcache/proof_test.go
@@ -244,9 +244,9 @@
 		defer p.mu.Unlock()
 		return time.Since(p.proven)
 	}
-	p.feed.OverdueIn = func() time.Duration { return 2*questionWait - p.feed.Age() }
+	p.feed.TimeUntilLate = func() time.Duration { return 2*questionWait - p.feed.Age() }
 	m := mirror.Mirror{
-		Feed: &p.feed, Wait: questionWait, MinInterval: settle, Log: zerolog.Nop(),
+		Feed: &p.feed, WatchTimeout: questionWait, MinInterval: settle, Log: zerolog.Nop(),
 		Put:     func(pair kv.Pair) { p.held[pair.Key] = max(p.held[pair.Key], pair.Revision) },
 		Removed: func(string, uint64) {}, Confirm: p.confirm, StoreFailed: func(error) {},
 		Unhurried: func() bool { return p.unhurried },
@@ -262,10 +262,10 @@
 	blind bool
 }
 
-// Query implements watchcache.Source.
-func (s source) Query(ctx context.Context, address string, q watchcache.Request) (watchcache.Answer, error) {
+// Fetch implements watchcache.Source.
+func (s source) Fetch(ctx context.Context, address string, q watchcache.Request) (watchcache.Answer, error) {
 	time.Sleep(s.s.delay())
-	answer, err := s.named[address].cache.Query(ctx, q)
+	answer, err := s.named[address].cache.Fetch(ctx, q)
 	time.Sleep(s.s.delay())
 	if s.s.lost() {
 		return watchcache.Answer{}, errLost
--- a/test/proof/once_test.go
+++ b/test/proof/once_test.go
@@ -54,7 +54,7 @@
 func (h *agent) endpoint() fleet.Endpoint {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return fleet.Endpoint{Name: h.name, Address: h.name, Incarnation: h.incarnation, Epoch: h.calls.EpochAt(time.Now())}
+	return fleet.Endpoint{Name: h.name, Address: h.name, Incarnation: h.incarnation, Epoch: h.calls.Now(time.Now())}
 }
 
 // cluster simulates the agents and records which calls ran, on a virtual clock.
@@ -90,8 +90,8 @@
 
 func (lostCall) Error() string { return "no answer" }
 
-// Reserve implements runonce.Seats.
-func (s *cluster) Reserve(context.Context, map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
+// Enter implements runonce.Seats.
+func (s *cluster) Enter(context.Context, map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
 	return s.agent().endpoint(), func() {}, nil
 }
 
@@ -237,7 +237,7 @@
 					for range onceAttempts {
 						s.pause()
 						r := &runonce.Runner{
-							Claims: claims, Agents: s, Seats: s, MayRetry: func() bool { return !s.chance(4) },
+							Claims: claims, Agents: s, Reservations: s, MayRetry: func() bool { return !s.chance(4) },
 							Key: name, Digest: "d", Shared: true,
 						}
 						_, report := r.Run(context.Background())
--- a/test/soak/words_test.go
+++ b/test/soak/words_test.go
@@ -71,7 +71,7 @@
 		}
 	}
 	for e, left := range w.backends.left {
-		if e.Signals().Leaving { // otherwise only its record was withdrawn
+		if e.CurrentSignals().Leaving { // otherwise only its record was withdrawn
 			w.checkLeavingReport(e, left, byID)
 		}
 	}
