--- a/adapter/adminhttp/server.go
+++ b/adapter/adminhttp/server.go
@@ -25,8 +25,8 @@
 	"github.com/grademill/grademill/decide/config"
 	"github.com/grademill/grademill/decide/fleet"
 	"github.com/grademill/grademill/decide/policy"
+	"github.com/grademill/grademill/state/configreplica"
 	"github.com/grademill/grademill/state/headlog"
-	"github.com/grademill/grademill/state/replica"
 )
 
 const (
@@ -58,7 +58,7 @@
 	// Changes applies changes to the configuration.
 	Changes Changer
 	// Config is the configuration in force in this process.
-	Config *replica.Config
+	Config *configreplica.Config
 	// Status returns the state of the fleet.
 	Status func() Status
 	// Ready reports whether callers should be directed to this process.
--- a/cmd/grademill/explain.go
+++ b/cmd/grademill/explain.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/subcommands"
 
-	"github.com/grademill/grademill/decide/story"
+	"github.com/grademill/grademill/decide/requestlog"
 )
 
 // defaultLookback is how long before a request the gateways' findings about
@@ -41,7 +41,7 @@
 		fmt.Fprint(os.Stderr, c.Usage())
 		return subcommands.ExitUsageError
 	}
-	s := &story.Log{Request: f.Arg(0), Before: c.before}
+	s := &requestlog.Log{Request: f.Arg(0), Before: c.before}
 	for _, path := range f.Args()[1:] {
 		if err := readLog(s, path); err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -60,7 +60,7 @@
 }
 
 // readLog adds the log lines of one file to s.
-func readLog(s *story.Log, path string) error {
+func readLog(s *requestlog.Log, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
--- a/cmd/grademill/roles.go
+++ b/cmd/grademill/roles.go
@@ -25,7 +25,7 @@
 	"github.com/grademill/grademill/role/agent"
 	"github.com/grademill/grademill/role/entry"
 	"github.com/grademill/grademill/role/settings"
-	"github.com/grademill/grademill/state/replica"
+	"github.com/grademill/grademill/state/configreplica"
 )
 
 // exitSettings is the exit code for an invalid settings file.
@@ -156,7 +156,7 @@
 }
 
 // teamOf returns a function that maps the hash of a key to its team.
-func teamOf(c *replica.Config) func(string) (string, bool) {
+func teamOf(c *configreplica.Config) func(string) (string, bool) {
 	return func(hash string) (string, bool) {
 		team, ok := c.Current().TeamByKey[hash]
 		return team, ok
--- a/cmd/measure/placements.go
+++ b/cmd/measure/placements.go
@@ -13,7 +13,7 @@
 
 	"github.com/grademill/grademill/decide/catalog"
 	"github.com/grademill/grademill/decide/layer"
-	"github.com/grademill/grademill/decide/spread"
+	"github.com/grademill/grademill/decide/placement"
 )
 
 // placementsCommand compares strategies for placing the layers of a model on the
@@ -47,18 +47,18 @@
 // drawnModel is the model of the users' deployments.
 var drawnModel = &catalog.Model{Layers: 80, LayerSize: 1750, TokenSize: 0.918, Cards: cardKinds}
 
-// placement is a strategy for placement layers on the cards of a hall.
-type placement struct {
+// placementStrategy is a way to place layers on the cards of a hall.
+type placementStrategy struct {
 	name  string
-	place func([]spread.Card) []spread.Card
+	place func([]placement.Card) []placement.Card
 }
 
 // placements lists the strategies that are compared.
-var placements = []placement{
+var placements = []placementStrategy{
 	{"planner", byPlanner},
-	{"further copies from the first layer on", consecutive(func(c spread.Card) float64 { return 0.6 * cardKinds[c.Kind].Memory / drawnModel.LayerSize })},
-	{"equal shares", consecutive(func(spread.Card) float64 { return 10 })},
-	{"layers by speed", consecutive(func(c spread.Card) float64 { return 56 / cardKinds[c.Kind].TokenTimeFactor })},
+	{"further copies from the first layer on", consecutive(func(c placement.Card) float64 { return 0.6 * cardKinds[c.Kind].Memory / drawnModel.LayerSize })},
+	{"equal shares", consecutive(func(placement.Card) float64 { return 10 })},
+	{"layers by speed", consecutive(func(c placement.Card) float64 { return 56 / cardKinds[c.Kind].TokenTimeFactor })},
 	{"whole copies by memory", byMemory},
 }
 
@@ -79,7 +79,7 @@
 			gone := random.IntN(len(cards))
 			left := slices.Delete(slices.Clone(cards), gone, gone+1)
 			if way.name == "planner" {
-				left = applyMoves(left, spread.Planner{}.Plan(drawnModel, left))
+				left = applyMoves(left, placement.Planner{}.Plan(drawnModel, left))
 			}
 			after := room(left) / bound
 			lost = append(lost, after)
@@ -102,15 +102,15 @@
 
 // drawHall draws the cards of a hall at random. 0.6 of their memory holds more than
 // 1.5 copies of the model.
-func drawHall(random *rand.Rand) []spread.Card {
+func drawHall(random *rand.Rand) []placement.Card {
 	for {
-		var cards []spread.Card
+		var cards []placement.Card
 		for _, k := range maxCards {
 			for range random.IntN(k.most + 1) {
-				cards = append(cards, spread.Card{Hall: "h", Kind: k.kind})
+				cards = append(cards, placement.Card{Hall: "h", Kind: k.kind})
 			}
 		}
-		slices.SortStableFunc(cards, func(a, b spread.Card) int {
+		slices.SortStableFunc(cards, func(a, b placement.Card) int {
 			return cmp.Compare(cardKinds[a.Kind].TokenTimeFactor, cardKinds[b.Kind].TokenTimeFactor)
 		})
 		for i := range cards {
@@ -122,7 +122,7 @@
 	}
 }
 
-func memoryOf(cards []spread.Card) float64 {
+func memoryOf(cards []placement.Card) float64 {
 	sum := 0.0
 	for _, c := range cards {
 		sum += cardKinds[c.Kind].Memory
@@ -133,12 +133,12 @@
 // roomBound returns the upper bound of the number of tokens with cached state in a
 // hall: those that fit in 0.4 of the memory, which copies of the model leave free,
 // if every layer has the same room.
-func roomBound(cards []spread.Card) float64 {
+func roomBound(cards []placement.Card) float64 {
 	return 0.4 * memoryOf(cards) / drawnModel.TokenSize
 }
 
 // room returns the number of tokens that fit at the layer with the least room.
-func room(cards []spread.Card) float64 {
+func room(cards []placement.Card) float64 {
 	at := make([]float64, drawnModel.Layers)
 	for _, c := range cards {
 		for l := c.AssignedLayers.First; l < c.AssignedLayers.End; l++ {
@@ -150,7 +150,7 @@
 
 // tokenTime returns the time in milliseconds of a token, if the fastest card that
 // holds a layer runs it.
-func tokenTime(cards []spread.Card) float64 {
+func tokenTime(cards []placement.Card) float64 {
 	const step = 1.02
 	sum := 0.0
 	for l := range drawnModel.Layers {
@@ -166,12 +166,12 @@
 }
 
 // byPlanner places the layers according to the router's own planner.
-func byPlanner(cards []spread.Card) []spread.Card {
-	return applyMoves(cards, spread.Planner{}.Plan(drawnModel, cards))
+func byPlanner(cards []placement.Card) []placement.Card {
+	return applyMoves(cards, placement.Planner{}.Plan(drawnModel, cards))
 }
 
 // applyMoves returns the cards after the moves.
-func applyMoves(cards []spread.Card, moves []spread.Move) []spread.Card {
+func applyMoves(cards []placement.Card, moves []placement.Move) []placement.Card {
 	cards = slices.Clone(cards)
 	for _, m := range moves {
 		for i := range cards {
@@ -185,8 +185,8 @@
 
 // consecutive returns a strategy that assigns consecutive ranges, of a size that depends
 // on the card, and starts over at the first layer after the last.
-func consecutive(size func(spread.Card) float64) func([]spread.Card) []spread.Card {
-	return func(cards []spread.Card) []spread.Card {
+func consecutive(size func(placement.Card) float64) func([]placement.Card) []placement.Card {
+	return func(cards []placement.Card) []placement.Card {
 		cards = slices.Clone(cards)
 		next := 0
 		for i, c := range cards {
@@ -201,7 +201,7 @@
 
 // byMemory splits the cards into groups of about equal memory, each of which holds
 // one copy of the model, and gives each card layers in proportion to its memory.
-func byMemory(cards []spread.Card) []spread.Card {
+func byMemory(cards []placement.Card) []placement.Card {
 	cards = slices.Clone(cards)
 	groups := max(int(0.76*memoryOf(cards)/(float64(drawnModel.Layers)*drawnModel.LayerSize)), 1)
 	held := make([]float64, groups)
--- a/cmd/measure/slopes_live.go
+++ b/cmd/measure/slopes_live.go
@@ -11,7 +11,7 @@
 	"github.com/grademill/grademill/decide/config"
 	"github.com/grademill/grademill/decide/policy"
 	"github.com/grademill/grademill/decide/view"
-	"github.com/grademill/grademill/state/replica"
+	"github.com/grademill/grademill/state/configreplica"
 )
 
 // meanCPUTime returns the mean processor time of n calls of f.
@@ -38,7 +38,7 @@
 	}
 	took := meanCPUTime(100_000, func() { set.Decide(policy.Request{Team: "team-7", Service: "assistant"}, true) })
 	fmt.Fprintf(out, "decision with no policy\t\t\t\t%v\n", took)
-	policies := policiesOf(20).(*replica.Config).Current().Policies
+	policies := policiesOf(20).(*configreplica.Config).Current().Policies
 	took = meanCPUTime(5000, func() { policies.Decide(policy.Request{Team: "none", Service: "assistant"}, true) })
 	fmt.Fprintf(out, "decision with 20 policies\t\t\t\t%v\n", took)
 	if err := out.Flush(); err != nil {
--- a/cmd/measure/slopes_state.go
+++ b/cmd/measure/slopes_state.go
@@ -15,8 +15,8 @@
 	"github.com/grademill/grademill/decide/layer"
 	"github.com/grademill/grademill/decide/once"
 	"github.com/grademill/grademill/decide/view"
+	"github.com/grademill/grademill/state/configreplica"
 	"github.com/grademill/grademill/state/headlog"
-	"github.com/grademill/grademill/state/replica"
 	"github.com/grademill/grademill/wire"
 )
 
@@ -88,8 +88,8 @@
 }
 
 // stateOf returns a replica of a configuration after n changes.
-func stateOf(n int, change func(i int) config.Change) *replica.Config {
-	r := replica.New()
+func stateOf(n int, change func(i int) config.Change) *configreplica.Config {
+	r := configreplica.New()
 	state := new(config.State)
 	for i := range n {
 		next, err := state.With(uint64(i+1), change(i))
--- a/decide/place/planner.go
+++ b/decide/assignment/planner.go
@@ -1,6 +1,6 @@
-// Package place plans which layers idle endpoints load for models that cannot serve because
+// Package assignment plans which layers idle endpoints load for models that cannot serve because
 // layers are missing. Planner.Plan returns the orders.
-package place
+package assignment
 
 import (
 	"cmp"
--- a/decide/patience/learned.go
+++ b/decide/callertimeout/learned.go
@@ -1,6 +1,6 @@
-// Package patience distinguishes returning callers from new ones by the time left until their
+// Package callertimeout distinguishes returning callers from new ones by the time left until their
 // deadline. It learns the usual time, because some callers set a shorter deadline than their route.
-package patience
+package callertimeout
 
 import "slices"
 
--- a/decide/patience/learned_test.go
+++ b/decide/callertimeout/learned_test.go
@@ -1,4 +1,4 @@
-package patience_test
+package callertimeout_test
 
 import (
 	"math/rand/v2"
@@ -6,12 +6,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/grademill/grademill/decide/patience"
+	"github.com/grademill/grademill/decide/callertimeout"
 )
 
 // If all callers use the route's full timeout, a caller with less time left is a returning one.
 func TestFullTimeouts(t *testing.T) {
-	var l patience.Estimate
+	var l callertimeout.Estimate
 	require.True(t, l.IsReturning(0.9), "no data on callers with shorter timeouts")
 	for range 200 {
 		l = l.WithShare(1)
@@ -25,7 +25,7 @@
 func TestVaryingTimeouts(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	first := func() float64 { return 0.85 + 0.15*random.Float64() }
-	var l patience.Estimate
+	var l callertimeout.Estimate
 	for range 64 {
 		l = l.WithShare(first())
 	}
@@ -42,7 +42,7 @@
 // A few callers that retry after a fault must not move the estimate, and the estimate must follow a
 // change in the callers' timeouts.
 func TestFollowsChangesAndIgnoresOutliers(t *testing.T) {
-	var l patience.Estimate
+	var l callertimeout.Estimate
 	for i := range 64 {
 		share := 1.0
 		if i%32 == 7 {
--- a/decide/reread/reread.go
+++ b/decide/failover/reread.go
@@ -1,7 +1,7 @@
-// Package reread decides how a stream continues after the loss of one of its endpoints: by moving
+// Package failover decides how a stream continues after the loss of one of its endpoints: by moving
 // to others that hold the same layers, which read the prompt again, or by restarting along another
 // chain.
-package reread
+package failover
 
 import "time"
 
--- a/decide/holding/holding.go
+++ b/decide/layerreport/holding.go
@@ -1,6 +1,6 @@
-// Package holding tracks endpoints whose own report of their layers contradicts their record in
+// Package layerreport tracks endpoints whose own report of their layers contradicts their record in
 // the store. A Holding is such a report; Counts tells for how long it takes precedence.
-package holding
+package layerreport
 
 import (
 	"time"
--- a/decide/spread/floor.go
+++ b/decide/placement/floor.go
@@ -1,4 +1,4 @@
-package spread
+package placement
 
 import (
 	"math"
--- a/decide/spread/spread.go
+++ b/decide/placement/spread.go
@@ -1,6 +1,6 @@
-// Package spread plans which layers of a model each accelerator card holds, so that every data
+// Package placement plans which layers of a model each accelerator card holds, so that every data
 // hall can serve chains of its own. Planner.Plan returns the cards to load with other layers.
-package spread
+package placement
 
 import (
 	"cmp"
--- a/decide/spread/spread_test.go
+++ b/decide/placement/spread_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package placement_test
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 	"github.com/grademill/grademill/decide/catalog"
 	"github.com/grademill/grademill/decide/layer"
-	"github.com/grademill/grademill/decide/spread"
+	"github.com/grademill/grademill/decide/placement"
 )
 
 // model has the layer sizes and kinds of cards of a production fleet.
@@ -23,11 +23,11 @@
 }
 
 // emptyHall returns the empty cards of a hall.
-func emptyHall(name string, a100, l40s, l4 int) []spread.Card {
-	var cards []spread.Card
+func emptyHall(name string, a100, l40s, l4 int) []placement.Card {
+	var cards []placement.Card
 	add := func(kind string, n int) {
 		for i := range n {
-			cards = append(cards, spread.Card{ID: fmt.Sprintf("%s-%s-%d", name, kind, i), Hall: name, Kind: kind})
+			cards = append(cards, placement.Card{ID: fmt.Sprintf("%s-%s-%d", name, kind, i), Hall: name, Kind: kind})
 		}
 	}
 	add("a100", a100)
@@ -37,7 +37,7 @@
 }
 
 // applyMoves applies moves to cards.
-func applyMoves(cards []spread.Card, moves []spread.Move) {
+func applyMoves(cards []placement.Card, moves []placement.Move) {
 	for _, m := range moves {
 		for i := range cards {
 			if cards[i].ID == m.ID {
@@ -48,7 +48,7 @@
 }
 
 // copies counts the holders of each layer in a hall.
-func copies(cards []spread.Card, hall string) []int {
+func copies(cards []placement.Card, hall string) []int {
 	n := make([]int, model.Layers)
 	for _, c := range cards {
 		if c.Hall != hall {
@@ -65,7 +65,7 @@
 func TestEachHallGetsACopy(t *testing.T) {
 	cards := append(emptyHall("rosehill", 1, 3, 8), emptyHall("quatrebornes", 1, 6, 5)...)
 	cards = append(cards, emptyHall("curepipe", 2, 2, 5)...)
-	moves := spread.Planner{}.Plan(model, cards)
+	moves := placement.Planner{}.Plan(model, cards)
 	require.Len(t, moves, len(cards))
 	applyMoves(cards, moves)
 	for _, h := range []string{"rosehill", "quatrebornes", "curepipe"} {
@@ -74,7 +74,7 @@
 	for _, c := range cards {
 		require.Positive(t, model.Room(model.Cards[c.Kind], c.AssignedLayers.Len()), c.ID)
 	}
-	require.Empty(t, spread.Planner{}.Plan(model, cards), "a fleet that serves is not changed")
+	require.Empty(t, placement.Planner{}.Plan(model, cards), "a fleet that serves is not changed")
 }
 
 // Requests occupy slots at the first endpoint of a chain, so the first layers get a second
@@ -84,18 +84,18 @@
 	slotBound := *model
 	slotBound.Slots, slotBound.Prompt, slotBound.Answer = 192, 760, 138
 	cards := emptyHall("h", 1, 3, 8)
-	applyMoves(cards, spread.Planner{}.Plan(&slotBound, cards))
+	applyMoves(cards, placement.Planner{}.Plan(&slotBound, cards))
 	require.NotContains(t, copies(cards, "h"), 0)
 	require.Equal(t, 2, copies(cards, "h")[0])
-	require.Empty(t, spread.Planner{}.Plan(&slotBound, cards), "plans converge")
+	require.Empty(t, placement.Planner{}.Plan(&slotBound, cards), "plans converge")
 }
 
 // A plan depends only on what the cards hold, not on their order in the list.
 func TestPlanDoesNotDependOnOrder(t *testing.T) {
 	cards := emptyHall("h", 1, 3, 8)
-	want := spread.Planner{}.Plan(model, cards)
+	want := placement.Planner{}.Plan(model, cards)
 	rand.New(rand.NewPCG(1, 2)).Shuffle(len(cards), func(i, j int) { cards[i], cards[j] = cards[j], cards[i] })
-	require.Equal(t, want, spread.Planner{}.Plan(model, cards))
+	require.Equal(t, want, placement.Planner{}.Plan(model, cards))
 }
 
 // Whichever card is lost, one plan covers its layers again and no other layer loses all its
@@ -104,41 +104,41 @@
 	uncovered := 0
 	for lost := range emptyHall("h", 1, 3, 8) {
 		cards := emptyHall("h", 1, 3, 8)
-		applyMoves(cards, spread.Planner{}.Plan(model, cards))
+		applyMoves(cards, placement.Planner{}.Plan(model, cards))
 		remaining := slices.Delete(slices.Clone(cards), lost, lost+1)
 		before := copies(remaining, "h")
 		if slices.Contains(before, 0) {
 			uncovered++
 		}
-		applyMoves(remaining, spread.Planner{}.Plan(model, remaining))
+		applyMoves(remaining, placement.Planner{}.Plan(model, remaining))
 		require.NotContains(t, copies(remaining, "h"), 0, cards[lost].ID)
-		require.Empty(t, spread.Planner{}.Plan(model, remaining), "plans converge")
+		require.Empty(t, placement.Planner{}.Plan(model, remaining), "plans converge")
 	}
 	require.Positive(t, uncovered)
 }
 
 // Cards beside a few missing layers take them on and keep their own.
 func TestNeighboursTakeMissingLayers(t *testing.T) {
-	cards := []spread.Card{
+	cards := []placement.Card{
 		{ID: "a", Hall: "h", Kind: "a100", AssignedLayers: layer.Range{First: 0, End: 26}},
 		{ID: "b", Hall: "h", Kind: "a100", AssignedLayers: layer.Range{First: 28, End: 54}},
 		{ID: "c", Hall: "h", Kind: "a100", AssignedLayers: layer.Range{First: 54, End: 80}},
 	}
-	moves := spread.Planner{Fill: 0.6}.Plan(model, cards)
-	require.Equal(t, []spread.Move{{ID: "a", Layers: layer.Range{First: 0, End: 28}}}, moves)
+	moves := placement.Planner{Fill: 0.6}.Plan(model, cards)
+	require.Equal(t, []placement.Move{{ID: "a", Layers: layer.Range{First: 0, End: 28}}}, moves)
 }
 
 // A fast card that returns empty takes its former layers back from the slow cards that replaced
 // it.
 func TestReturningFastCardGetsItsLayers(t *testing.T) {
 	cards := emptyHall("h", 1, 3, 8)
-	applyMoves(cards, spread.Planner{}.Plan(model, cards))
-	fast := slices.IndexFunc(cards, func(c spread.Card) bool { return c.Kind == "a100" })
+	applyMoves(cards, placement.Planner{}.Plan(model, cards))
+	fast := slices.IndexFunc(cards, func(c placement.Card) bool { return c.Kind == "a100" })
 	original := cards[fast].AssignedLayers
 	remaining := slices.Delete(slices.Clone(cards), fast, fast+1)
-	applyMoves(remaining, spread.Planner{}.Plan(model, remaining))
-	remaining = append(remaining, spread.Card{ID: "back", Hall: "h", Kind: "a100"})
-	moves := spread.Planner{}.Plan(model, remaining)
+	applyMoves(remaining, placement.Planner{}.Plan(model, remaining))
+	remaining = append(remaining, placement.Card{ID: "back", Hall: "h", Kind: "a100"})
+	moves := placement.Planner{}.Plan(model, remaining)
 	require.Len(t, moves, 1)
 	require.Equal(t, "back", moves[0].ID)
 	require.Equal(t, original, moves[0].Layers)
@@ -148,7 +148,7 @@
 // layers. The next copy goes there, not to layers that two cards hold already.
 func TestShortRangeGetsACopy(t *testing.T) {
 	cards := emptyHall("h", 1, 6, 6)
-	applyMoves(cards, spread.Planner{}.Plan(model, cards))
+	applyMoves(cards, placement.Planner{}.Plan(model, cards))
 	require.NotContains(t, copies(cards, "h")[15:], 1)
 }
 
@@ -158,7 +158,7 @@
 	grown := *model
 	grown.TokenSize, grown.Slots, grown.Prompt, grown.Answer = 0.406, 64, 745, 230
 	cards := emptyHall("h", 1, 9, 7)
-	moves := spread.Planner{}.Plan(&grown, cards)
+	moves := placement.Planner{}.Plan(&grown, cards)
 	applyMoves(cards, moves)
 	n := copies(cards, "h")
 	require.Greater(t, n[0], 1)
@@ -169,12 +169,12 @@
 // without it.
 func TestCardWithInvalidLayersIsIgnored(t *testing.T) {
 	cards := emptyHall("h", 1, 3, 8)
-	applyMoves(cards, spread.Planner{}.Plan(model, cards))
+	applyMoves(cards, placement.Planner{}.Plan(model, cards))
 	remaining := slices.Delete(slices.Clone(cards), 0, 1)
 	invalid := &remaining[len(remaining)-1]
 	invalid.AssignedLayers = layer.Range{First: 70, End: 95}
 	require.Contains(t, copies(remaining[:len(remaining)-1], "h"), 0, "some layers are uncovered")
-	moves := spread.Planner{}.Plan(model, remaining)
+	moves := placement.Planner{}.Plan(model, remaining)
 	require.NotEmpty(t, moves)
 	for _, m := range moves {
 		require.NotEqual(t, invalid.ID, m.ID)
@@ -184,7 +184,7 @@
 // Halls that are too small for a copy of the model hold one together.
 func TestSmallHallsArePlannedAsOne(t *testing.T) {
 	cards := append(emptyHall("east", 1, 0, 2), emptyHall("west", 0, 2, 1)...)
-	applyMoves(cards, spread.Planner{Fill: 0.8}.Plan(model, cards))
+	applyMoves(cards, placement.Planner{Fill: 0.8}.Plan(model, cards))
 	held := copies(cards, "east")
 	for l, n := range copies(cards, "west") {
 		held[l] += n
@@ -196,7 +196,7 @@
 func TestPlansFitAndConverge(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 500 {
-		var cards []spread.Card
+		var cards []placement.Card
 		for h := range 1 + random.IntN(3) {
 			cards = append(cards, emptyHall(fmt.Sprint("h", h), random.IntN(3), random.IntN(6), random.IntN(10))...)
 		}
@@ -207,7 +207,7 @@
 			}
 		}
 		for round := 0; ; round++ {
-			moves := spread.Planner{}.Plan(model, cards)
+			moves := placement.Planner{}.Plan(model, cards)
 			if len(moves) == 0 {
 				break
 			}
@@ -229,7 +229,7 @@
 	slotBound := *model
 	slotBound.Slots, slotBound.Prompt, slotBound.Answer = 1, 760, 138
 	cards := emptyHall("h", 6, 0, 0) // three layers short of three copies of the model
-	applyMoves(cards, spread.Planner{Fill: 0.7}.Plan(&slotBound, cards))
+	applyMoves(cards, placement.Planner{Fill: 0.7}.Plan(&slotBound, cards))
 	require.GreaterOrEqual(t, slices.Min(copies(cards, "h")), 2)
 	require.LessOrEqual(t, copies(cards, "h")[0], 3)
 }
--- a/decide/story/story.go
+++ b/decide/requestlog/story.go
@@ -1,6 +1,6 @@
-// Package story reconstructs from the logs of the gateways what happened to a request and why. A
+// Package requestlog reconstructs from the logs of the gateways what happened to a request and why. A
 // Story reads the logs; Write prints the relevant lines, and Verdict returns the result.
-package story
+package requestlog
 
 import (
 	"bufio"
--- a/decide/story/story_test.go
+++ b/decide/requestlog/story_test.go
@@ -1,4 +1,4 @@
-package story_test
+package requestlog_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/grademill/grademill/decide/story"
+	"github.com/grademill/grademill/decide/requestlog"
 )
 
 const log = `{"process":"g1","time":"2026-12-02T10:00:00Z","endpoint":"old","address":"10.0.0.1:80","message":"endpoint gone"}
@@ -23,7 +23,7 @@
 `
 
 func TestStory(t *testing.T) {
-	s := &story.Log{Request: "r1", Before: 10 * time.Second}
+	s := &requestlog.Log{Request: "r1", Before: 10 * time.Second}
 	skipped, err := s.Read(strings.NewReader(log))
 	require.NoError(t, err)
 	require.Equal(t, 1, skipped)
@@ -36,7 +36,7 @@
 
 // messagesOf returns the processes and messages of the lines relevant to request r1 in a log.
 func messagesOf(t *testing.T, log string) []string {
-	s := &story.Log{Request: "r1", Before: time.Second}
+	s := &requestlog.Log{Request: "r1", Before: time.Second}
 	_, err := s.Read(strings.NewReader(log))
 	require.NoError(t, err)
 	var list []string
@@ -71,7 +71,7 @@
 }
 
 func ExampleLog() {
-	s := &story.Log{Request: "r1", Before: time.Second}
+	s := &requestlog.Log{Request: "r1", Before: time.Second}
 	if _, err := s.Read(strings.NewReader(log)); err != nil {
 		fmt.Println(err)
 	}
@@ -86,7 +86,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add(log)
 	f.Fuzz(func(t *testing.T, text string) {
-		s := &story.Log{Request: "r1", Before: time.Hour}
+		s := &requestlog.Log{Request: "r1", Before: time.Hour}
 		if _, err := s.Read(strings.NewReader(text)); err == nil {
 			require.NoError(t, s.Write(&strings.Builder{}))
 		}
--- a/decide/story/verdict.go
+++ b/decide/requestlog/verdict.go
@@ -1,4 +1,4 @@
-package story
+package requestlog
 
 import (
 	"encoding/json"
--- a/decide/story/verdict_test.go
+++ b/decide/requestlog/verdict_test.go
@@ -1,4 +1,4 @@
-package story_test
+package requestlog_test
 
 import (
 	"strings"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/grademill/grademill/decide/story"
+	"github.com/grademill/grademill/decide/requestlog"
 )
 
 // The logs alone must determine the result of a request, even if its gateway lost power.
@@ -22,17 +22,17 @@
 	cases := []struct {
 		name string
 		log  []string
-		want story.Verdict
+		want requestlog.Verdict
 	}{
-		{"acknowledged", []string{sent, served}, story.Verdict{Result: story.FateAnswered, Process: "g-1", Endpoint: "10.0.0.1:80", Status: 200}},
-		{"refused", []string{sent, notRun}, story.Verdict{Result: story.FateNotRun, Process: "g-1", Status: 503}},
-		{"failed", []string{sent, failed}, story.Verdict{Result: story.FateRan, Process: "g-1", Endpoint: "10.0.0.1:80", Status: 502}},
-		{"power lost in between", []string{sent, other}, story.Verdict{Result: story.FateUnknown, Process: "g-1", Endpoint: "10.0.0.1:80"}},
-		{"never sent", []string{other}, story.Verdict{Result: story.FateUnsent}},
+		{"acknowledged", []string{sent, served}, requestlog.Verdict{Result: requestlog.FateAnswered, Process: "g-1", Endpoint: "10.0.0.1:80", Status: 200}},
+		{"refused", []string{sent, notRun}, requestlog.Verdict{Result: requestlog.FateNotRun, Process: "g-1", Status: 503}},
+		{"failed", []string{sent, failed}, requestlog.Verdict{Result: requestlog.FateRan, Process: "g-1", Endpoint: "10.0.0.1:80", Status: 502}},
+		{"power lost in between", []string{sent, other}, requestlog.Verdict{Result: requestlog.FateUnknown, Process: "g-1", Endpoint: "10.0.0.1:80"}},
+		{"never sent", []string{other}, requestlog.Verdict{Result: requestlog.FateUnsent}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := &story.Log{Request: "r", Before: time.Minute}
+			s := &requestlog.Log{Request: "r", Before: time.Minute}
 			_, err := s.Read(strings.NewReader(strings.Join(c.log, "\n")))
 			require.NoError(t, err)
 			require.Equal(t, c.want, s.Verdict())
@@ -44,10 +44,10 @@
 // The verdict on a late answer must show how its time was spent.
 func TestVerdictHoldsTimes(t *testing.T) {
 	const log = `{"time":"2026-12-02T10:00:01Z","process":"g-1","message":"request ended","request":"r","outcome":"served","status":200,"runs":1,"first_ms":640.25,"waited_ms":300.5,"under_route_ms":2100,"returned":true,"pause_ms":46.2}`
-	s := &story.Log{Request: "r", Before: time.Minute}
+	s := &requestlog.Log{Request: "r", Before: time.Minute}
 	_, err := s.Read(strings.NewReader(log))
 	require.NoError(t, err)
-	want := story.Times{
+	want := requestlog.Times{
 		Before: 2100 * time.Millisecond, Line: 301 * time.Millisecond, Chain: 339 * time.Millisecond,
 		MaxPause: 46 * time.Millisecond,
 	}
--- a/decide/comeback/book.go
+++ b/decide/retryafter/book.go
@@ -1,5 +1,5 @@
-// Package comeback computes the Retry-After delays of rejected callers.
-package comeback
+// Package retryafter computes the Retry-After delays of rejected callers.
+package retryafter
 
 import "time"
 
--- a/decide/unseen/flow.go
+++ b/decide/unreported/flow.go
@@ -1,6 +1,6 @@
-// Package unseen estimates how much shared capacity other gateways have taken since their latest
+// Package unreported estimates how much shared capacity other gateways have taken since their latest
 // reports.
-package unseen
+package unreported
 
 import "time"
 
--- a/decide/unseen/flow_test.go
+++ b/decide/unreported/flow_test.go
@@ -1,4 +1,4 @@
-package unseen_test
+package unreported_test
 
 import (
 	"math/rand/v2"
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/grademill/grademill/decide/unseen"
+	"github.com/grademill/grademill/decide/unreported"
 )
 
 // The simulated slots and the gateways that share them.
@@ -82,7 +82,7 @@
 // Gateways that add the estimate of unreported requests must overfill the slots less, and still use
 // nearly all of them.
 func TestSlotsAreNotOverfilled(t *testing.T) {
-	margin := unseen.Usage{ReportInterval: reportInterval, RequestDuration: requestDuration}.UnreportedShare()
+	margin := unreported.Usage{ReportInterval: reportInterval, RequestDuration: requestDuration}.UnreportedShare()
 	before, _ := simulate(0)
 	after, used := simulate(margin)
 	t.Logf("slots overfilled by %.1f with the estimate, %.1f without; used %.3f", after, before, used)
@@ -91,6 +91,6 @@
 }
 
 func TestUnknownAndShortDurations(t *testing.T) {
-	require.Zero(t, unseen.Usage{ReportInterval: reportInterval}.UnreportedShare())
-	require.InDelta(t, 1, unseen.Usage{ReportInterval: time.Minute, RequestDuration: time.Second}.UnreportedShare(), 1e-9)
+	require.Zero(t, unreported.Usage{ReportInterval: reportInterval}.UnreportedShare())
+	require.InDelta(t, 1, unreported.Usage{ReportInterval: time.Minute, RequestDuration: time.Second}.UnreportedShare(), 1e-9)
 }
--- a/role/admission/line.go
+++ b/role/admission/line.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"github.com/grademill/grademill/adapter/pause"
-	"github.com/grademill/grademill/decide/comeback"
+	"github.com/grademill/grademill/decide/callertimeout"
 	"github.com/grademill/grademill/decide/outcome"
-	"github.com/grademill/grademill/decide/patience"
 	"github.com/grademill/grademill/decide/rate"
+	"github.com/grademill/grademill/decide/retryafter"
 	"github.com/grademill/grademill/decide/urgency"
 	"github.com/grademill/grademill/role/gate"
 	"github.com/grademill/grademill/state/byname"
@@ -59,14 +59,14 @@
 	gate gate.Gate[G]
 	wake chan struct{}
 	// firstTimeouts holds, per service, the timeouts that callers usually set on a first attempt.
-	firstTimeouts byname.Map[patience.Estimate]
+	firstTimeouts byname.Map[callertimeout.Estimate]
 	refusedAt     atomic.Int64
 	// retryRates holds the rate of retried requests per service.
 	retryRates byname.Map[rate.Meter]
 
 	mu sync.Mutex
 	// retries schedules the retries of refused callers; guarded by mu.
-	retries comeback.Schedule
+	retries retryafter.Schedule
 }
 
 // ready initializes the gate on the first call and returns it.
@@ -86,7 +86,7 @@
 		l.retryRates.Update(r.Service, func(m rate.Meter) rate.Meter { return m.WithCount(r.Start, 1) })
 	}
 	if r.Start.UnixNano()-l.refusedAt.Load() >= int64(noRefusalPeriod) {
-		l.firstTimeouts.Update(r.Service, func(p patience.Estimate) patience.Estimate { return p.WithShare(share) })
+		l.firstTimeouts.Update(r.Service, func(p callertimeout.Estimate) callertimeout.Estimate { return p.WithShare(share) })
 	}
 	return returned
 }
@@ -171,7 +171,7 @@
 // admissions in requests per second from which the delay was computed.
 func (l *Queue[G]) RetryAfter(r Request, now time.Time) (time.Duration, float64) {
 	l.refusedAt.Store(now.UnixNano())
-	load := comeback.Load{Admitted: l.ready().Admitted(r.Service), RequestDuration: l.Times.RequestDuration(r.Service)}
+	load := retryafter.Load{Admitted: l.ready().Admitted(r.Service), RequestDuration: l.Times.RequestDuration(r.Service)}
 	maxDelay := time.Duration(maxRetryAfterShare * float64(r.Deadline.Sub(now)))
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/role/entry/complete.go
+++ b/role/entry/complete.go
@@ -10,7 +10,7 @@
 	"github.com/grademill/grademill/decide/policy"
 	"github.com/grademill/grademill/port/router"
 	"github.com/grademill/grademill/role/gate"
-	"github.com/grademill/grademill/state/replica"
+	"github.com/grademill/grademill/state/configreplica"
 )
 
 // Complete implements router.Router.
@@ -54,7 +54,7 @@
 }
 
 // lookup returns a service that the team may use, or a refusal.
-func (e *Entry) lookup(s *replica.Snapshot, team, name string, kind config.ServiceKind) (config.Service, *outcome.Report) {
+func (e *Entry) lookup(s *configreplica.Snapshot, team, name string, kind config.ServiceKind) (config.Service, *outcome.Report) {
 	if e.draining.Load() {
 		return config.Service{}, outcome.Refuse(outcome.Draining, "this entry is leaving", retryAfter)
 	}
--- a/role/entry/entry.go
+++ b/role/entry/entry.go
@@ -32,8 +32,8 @@
 	"github.com/grademill/grademill/role/drain"
 	"github.com/grademill/grademill/role/gate"
 	"github.com/grademill/grademill/state/claimlog"
-	"github.com/grademill/grademill/state/conflog"
-	"github.com/grademill/grademill/state/replica"
+	"github.com/grademill/grademill/state/configlog"
+	"github.com/grademill/grademill/state/configreplica"
 )
 
 // Entry is one entry process. Set the exported fields, then call Prepare and Run.
@@ -90,8 +90,8 @@
 	draining    atomic.Bool
 	links       *link.Set
 	client      rpc.Client
-	config      *replica.Config
-	changes     *conflog.Log
+	config      *configreplica.Config
+	changes     *configlog.Log
 	claims      *claimlog.Log
 	gate        gate.Gate[*reservation]
 	snapshot    atomic.Pointer[view.Snapshot]
@@ -135,8 +135,8 @@
 // Prepare initializes the entry. It must be called before Run and before callers are served.
 func (e *Entry) Prepare() {
 	e.incarnation = uint64(time.Now().UnixNano())
-	e.config = replica.New()
-	e.changes = conflog.New(e.Store, e.config)
+	e.config = configreplica.New()
+	e.changes = configlog.New(e.Store, e.config)
 	e.claims = &claimlog.Log{Store: e.Store, Retention: e.ClaimKeep, BatchDelay: claimBatchDelay, Timeout: claimTimeout}
 	e.gate.MaxQueue = e.MaxQueue
 	e.view = view.View{HomeHall: e.Hall, Links: e.Links, Expiry: e.Expiry}
@@ -187,12 +187,12 @@
 }
 
 // Changes returns the log to which operators' changes are written.
-func (e *Entry) Changes() *conflog.Log {
+func (e *Entry) Changes() *configlog.Log {
 	return e.changes
 }
 
 // Config returns the configuration in force at this entry.
-func (e *Entry) Config() *replica.Config {
+func (e *Entry) Config() *configreplica.Config {
 	return e.config
 }
 
--- a/role/entry/lead.go
+++ b/role/entry/lead.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
+	"github.com/grademill/grademill/decide/assignment"
 	"github.com/grademill/grademill/decide/config"
 	"github.com/grademill/grademill/decide/fleet"
 	"github.com/grademill/grademill/decide/flow"
-	"github.com/grademill/grademill/decide/place"
 	"github.com/grademill/grademill/decide/policy"
 	"github.com/grademill/grademill/decide/rendezvous"
 	"github.com/grademill/grademill/port/kv"
@@ -98,31 +98,31 @@
 func (e *Entry) plan(ctx context.Context, term uint64) {
 	snapshot := e.snapshot.Load()
 	current := e.config.Current()
-	hosts := make([]place.Host, 0, len(snapshot.Idle))
+	hosts := make([]assignment.Host, 0, len(snapshot.Idle))
 	idle := make(map[string]fleet.Endpoint)
 	for _, ep := range snapshot.Idle {
 		idle[ep.Name] = ep
-		hosts = append(hosts, place.Host{Name: ep.Name, Allowed: func(service string) bool {
+		hosts = append(hosts, assignment.Host{Name: ep.Name, Allowed: func(service string) bool {
 			return current.Policies.MayPlace(policy.Host{Hall: ep.Hall, Service: service})
 		}})
 	}
 	if len(hosts) == 0 {
 		return
 	}
-	for _, o := range (place.Planner{}).Plan(e.models(), hosts) {
+	for _, o := range (assignment.Planner{}).Plan(e.models(), hosts) {
 		e.order(ctx, term, idle[o.Host], o)
 	}
 }
 
 // models returns the models that may be placed, with the layers that endpoints hold now.
-func (e *Entry) models() []place.Model {
+func (e *Entry) models() []assignment.Model {
 	snapshot := e.snapshot.Load()
-	var models []place.Model
+	var models []assignment.Model
 	for name, service := range e.config.Current().State.Services {
 		if service.Value.Kind != config.Model {
 			continue
 		}
-		m := place.Model{Service: name, Layers: service.Value.Layers, PerEngine: service.Value.LayersPerEngine}
+		m := assignment.Model{Service: name, Layers: service.Value.Layers, PerEngine: service.Value.LayersPerEngine}
 		if table := snapshot.Models[name]; table != nil {
 			for _, c := range table.Candidates {
 				m.Held = append(m.Held, flow.Edge{Layers: c.Endpoint.Layers, Capacity: 1})
@@ -134,7 +134,7 @@
 }
 
 // order sends one order to an endpoint.
-func (e *Entry) order(ctx context.Context, term uint64, to fleet.Endpoint, o place.Order) {
+func (e *Entry) order(ctx context.Context, term uint64, to fleet.Endpoint, o assignment.Order) {
 	reply := new(wire.OrderReply)
 	err := e.client.Call(ctx, to.Address, "order", &wire.Order{
 		Term: term, Incarnation: to.Incarnation, Service: o.Service,
--- a/role/gateway/chooser.go
+++ b/role/gateway/chooser.go
@@ -11,7 +11,7 @@
 	"github.com/grademill/grademill/decide/isolation"
 	"github.com/grademill/grademill/decide/layer"
 	"github.com/grademill/grademill/decide/throttle"
-	"github.com/grademill/grademill/decide/unseen"
+	"github.com/grademill/grademill/decide/unreported"
 	"github.com/grademill/grademill/state/pace"
 )
 
@@ -24,9 +24,9 @@
 	// fleetFactor is the number of requests of all gateways that do the same for each one of this
 	// gateway: 1 for a single request, more for one that leaves a lost endpoint.
 	fleetFactor float64
-	// unseen is the share of the other gateways' requests at an endpoint that may have arrived
+	// unreported is the share of the other gateways' requests at an endpoint that may have arrived
 	// since their last report.
-	unseen float64
+	unreported float64
 	// isolationPlan holds the endpoints reserved for trying suspects.
 	isolationPlan isolation.Plan
 	// open, avoided and crowded count the endpoints of the model, those that were avoided, and
@@ -87,10 +87,10 @@
 
 // prepare sets the model, the costs of entering a chain in each hall, the share of other gateways'
 // requests not yet reported, and the noise.
-func (c *chooser) prepare(m *catalog.Model, f *fleet, home string, others unseen.Usage) {
+func (c *chooser) prepare(m *catalog.Model, f *fleet, home string, others unreported.Usage) {
 	c.finder.Layers = m.Layers
 	c.fleetFactor = 1
-	c.unseen = others.UnreportedShare()
+	c.unreported = others.UnreportedShare()
 	c.finder.EntryCost = c.finder.EntryCost[:0]
 	c.noise = c.noise[:0]
 	for _, hall := range f.halls {
@@ -164,7 +164,7 @@
 			}
 		}
 		room, free := b.room(q.service.Model, need)
-		if use != skipAvoided && usable.First == 0 && b.slotsFull(c.unseen) {
+		if use != skipAvoided && usable.First == 0 && b.slotsFull(c.unreported) {
 			usable.First = 1 // layers behind the first need no slot
 		}
 		if use != skipAvoided && (free < 0 || usable.Empty()) {
@@ -215,11 +215,11 @@
 }
 
 // slotsFull reports whether a backend can be the first of no further chain. Only a request whose
-// chain begins there takes one of its slots. unseen is the share of the other gateways'
+// chain begins there takes one of its slots. unreported is the share of the other gateways'
 // requests there that may have arrived since their last report.
-func (b *backend) slotsFull(unseen float64) bool {
+func (b *backend) slotsFull(unreported float64) bool {
 	others := float64(b.use.othersEntered.Load())
-	return int(float64(b.use.entered.Load())+others*(1+unseen)) >= b.Slots
+	return int(float64(b.use.entered.Load())+others*(1+unreported)) >= b.Slots
 }
 
 // perLayer returns the cost of a layer of a backend for a request, in seconds per token, before the
--- a/role/gateway/fleet.go
+++ b/role/gateway/fleet.go
@@ -6,14 +6,14 @@
 
 	"github.com/grademill/grademill/decide/backoff"
 	"github.com/grademill/grademill/decide/health"
-	"github.com/grademill/grademill/decide/holding"
 	"github.com/grademill/grademill/decide/layer"
+	"github.com/grademill/grademill/decide/layerreport"
 	"github.com/grademill/grademill/state/intake"
 	"github.com/grademill/grademill/state/pace"
 	"github.com/grademill/grademill/state/peers"
+	"github.com/grademill/grademill/state/reporters"
 	"github.com/grademill/grademill/state/roster"
 	"github.com/grademill/grademill/state/suspects"
-	"github.com/grademill/grademill/state/witnesses"
 )
 
 // fleet is a snapshot of all known endpoints. It is immutable; the usage of its backends is not.
@@ -95,7 +95,7 @@
 	// meanwhile, in nanoseconds of Unix time.
 	reportedDownSince, contradictedUntil atomic.Int64
 	// witnesses are the other gateways that report it down.
-	witnesses witnesses.Reporters
+	witnesses reporters.Reporters
 	// begun are the requests that it had just started when it was found silent, nil once it is
 	// known whether it has ended.
 	begun atomic.Pointer[[]suspects.Begun]
@@ -110,7 +110,7 @@
 	// another gateway, in nanoseconds of Unix time.
 	checkedAt, othersCheckedAt atomic.Int64
 	// holding is what it reports to hold while its record differs, nil for none.
-	holding atomic.Pointer[holding.Report]
+	holding atomic.Pointer[layerreport.Report]
 	// pendingOrder is the order that it carries out, nil for none known.
 	pendingOrder atomic.Pointer[pendingOrder]
 	// watchers watch the streams that pass through it.
@@ -125,7 +125,7 @@
 
 // newUsage returns the usage of an endpoint that is not used yet.
 func newUsage() *usage {
-	u := &usage{witnesses: witnesses.Reporters{ReportLifetime: reportFresh}}
+	u := &usage{witnesses: reporters.Reporters{ReportLifetime: reportFresh}}
 	u.health.Store(new(health.Record))
 	return u
 }
--- a/role/gateway/gateway.go
+++ b/role/gateway/gateway.go
@@ -30,10 +30,10 @@
 	"github.com/grademill/grademill/role/partition"
 	"github.com/grademill/grademill/role/quarantine"
 	"github.com/grademill/grademill/role/throttling"
-	"github.com/grademill/grademill/state/budgets"
-	"github.com/grademill/grademill/state/lines"
+	"github.com/grademill/grademill/state/inflight"
+	"github.com/grademill/grademill/state/linklimit"
 	"github.com/grademill/grademill/state/peers"
-	"github.com/grademill/grademill/state/turnstile"
+	"github.com/grademill/grademill/state/retrybudgets"
 	"github.com/grademill/grademill/state/watchcache"
 )
 
@@ -117,7 +117,7 @@
 	// refreshed ends the pause between two requests for changes.
 	refreshed chan struct{}
 	// running counts the requests in flight; it is closed before the process ends.
-	running turnstile.Counter
+	running inflight.Counter
 	pool    upstream.Pool
 	peers   peers.Table
 	gossip  gossip.Gossip
@@ -128,10 +128,10 @@
 	// announcer keeps the announcement of this gateway in the store.
 	announcer announcer.Announcer
 	// feed is the source of the store's changes, cache holds those that others may ask for.
-	feed   watchcache.Feed
-	cache  watchcache.Cache
-	probes probe.Prober
-	lines  lines.LinkLimiter
+	feed      watchcache.Feed
+	cache     watchcache.Cache
+	probes    probe.Prober
+	linklimit linklimit.LinkLimiter
 
 	// leading is set while this gateway gives orders, hasLeaderKey while the store holds the key of
 	// any leader.
@@ -146,7 +146,7 @@
 	queue admission.Queue[*reservation]
 
 	// retries is this gateway's share of the retry budget.
-	retries budgets.Budgets
+	retries retrybudgets.Budgets
 	// membership tracks the endpoints, members their usages.
 	membership membership.Membership
 	members    members
--- a/role/gateway/holding.go
+++ b/role/gateway/holding.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/grademill/grademill/decide/holding"
 	"github.com/grademill/grademill/decide/layer"
+	"github.com/grademill/grademill/decide/layerreport"
 )
 
 // noteLayers records the layers that the endpoint reported at a time.
@@ -13,7 +13,7 @@
 		b.use.holding.Store(nil)
 		return
 	}
-	b.use.holding.Store(&holding.Report{Reported: held, Recorded: b.Layers, At: at})
+	b.use.holding.Store(&layerreport.Report{Reported: held, Recorded: b.Layers, At: at})
 }
 
 // reportedLayers returns the layers that the endpoint reported, and whether they count beside its
--- a/role/gateway/leader.go
+++ b/role/gateway/leader.go
@@ -11,7 +11,7 @@
 	"github.com/grademill/grademill/adapter/pause"
 	"github.com/grademill/grademill/decide/catalog"
 	"github.com/grademill/grademill/decide/layer"
-	"github.com/grademill/grademill/decide/spread"
+	"github.com/grademill/grademill/decide/placement"
 	"github.com/grademill/grademill/port/kv"
 )
 
@@ -158,7 +158,7 @@
 		} else if now.Sub(o.changed) < stableTime {
 			continue
 		}
-		moves := (spread.Planner{}).Plan(service.Model, cards)
+		moves := (placement.Planner{}).Plan(service.Model, cards)
 		if !o.orders(ctx, f, moves, now) {
 			return false
 		}
@@ -167,13 +167,13 @@
 }
 
 // holdsAny reports whether any card holds layers.
-func holdsAny(cards []spread.Card) bool {
-	return slices.ContainsFunc(cards, func(c spread.Card) bool { return !c.AssignedLayers.Empty() })
+func holdsAny(cards []placement.Card) bool {
+	return slices.ContainsFunc(cards, func(c placement.Card) bool { return !c.AssignedLayers.Empty() })
 }
 
 // orders gives the orders of a plan, several concurrently. It returns false when another leader has
 // taken over.
-func (o *leader) orders(ctx context.Context, f *fleet, moves []spread.Move, now time.Time) bool {
+func (o *leader) orders(ctx context.Context, f *fleet, moves []placement.Move, now time.Time) bool {
 	for _, m := range moves {
 		f.byID[m.ID].use.setOrdered(m.Layers, now)
 	}
@@ -195,13 +195,13 @@
 }
 
 // cards lists the endpoints of a model in the form that the planner needs.
-func (o *leader) cards(m *catalog.Model, open []*backend, now time.Time) []spread.Card {
-	cards := make([]spread.Card, 0, len(open))
+func (o *leader) cards(m *catalog.Model, open []*backend, now time.Time) []placement.Card {
+	cards := make([]placement.Card, 0, len(open))
 	for _, b := range open {
 		if _, known := m.Cards[b.Card]; !known || o.g.hasEnded(b, now) {
 			continue
 		}
-		c := spread.Card{
+		c := placement.Card{
 			ID: b.ID, Hall: b.Hall, Kind: b.Card, AssignedLayers: b.Layers,
 			InUse: b.use.active.Load()+b.use.othersActive.Load() > 0,
 		}
--- a/role/gateway/seat.go
+++ b/role/gateway/seat.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"github.com/grademill/grademill/decide/chain"
+	"github.com/grademill/grademill/decide/failover"
 	"github.com/grademill/grademill/decide/isolation"
-	"github.com/grademill/grademill/decide/reread"
 	"github.com/grademill/grademill/decide/throttle"
-	"github.com/grademill/grademill/decide/unseen"
+	"github.com/grademill/grademill/decide/unreported"
 )
 
 // Costs of a chain in addition to the engines' own times, in seconds per token.
@@ -165,8 +165,8 @@
 }
 
 // peerFlow returns how the other gateways use the endpoints of a service.
-func (g *Gateway) peerFlow(service string) unseen.Usage {
-	return unseen.Usage{ReportInterval: g.gossip.DigestInterval(), RequestDuration: g.queue.Times.RequestDuration(service)}
+func (g *Gateway) peerFlow(service string) unreported.Usage {
+	return unreported.Usage{ReportInterval: g.gossip.DigestInterval(), RequestDuration: g.queue.Times.RequestDuration(service)}
 }
 
 // maxHeldPicks is the number of endpoints at their announced limit that a search may pick, so that
@@ -207,7 +207,7 @@
 	}
 	c.hops(hopCostAcrossHalls)
 	found, ok := c.finder.Find(c.holders)
-	return found, ok && g.lines.Allow(q.service.Model, need, g.peers.Size())
+	return found, ok && g.linklimit.Allow(q.service.Model, need, g.peers.Size())
 }
 
 // reserveMove reserves room along the cheapest chain to which a running request can be moved. The
@@ -239,18 +239,18 @@
 // one of this gateway.
 func (s *reservation) promptReadTime(q *query, old *reservation, fleetFactor float64) time.Duration {
 	m := q.service.Model
-	parts := make([]reread.Reader, 0, len(s.parts))
+	parts := make([]failover.Reader, 0, len(s.parts))
 	for i, b := range s.parts {
 		if old != nil && old.chain.Uses(b.Address) {
 			continue
 		}
-		parts = append(parts, reread.Reader{
+		parts = append(parts, failover.Reader{
 			OwnPrompts: float64(b.use.reading.Load()), OtherPrompts: float64(b.use.othersReading.Load()),
 			Share: float64(s.chain[i].Layers.Len()) / float64(m.Layers), TimeFactor: m.Cards[b.Card].PromptTimeFactor,
 		})
 	}
 	alone := time.Duration(float64(q.Prompt) / m.ReadRate * float64(time.Second))
-	return reread.ReadTime(parts, alone, fleetFactor)
+	return failover.ReadTime(parts, alone, fleetFactor)
 }
 
 // backendOf returns the backend of the reservation that a part of a chain names, nil for none.
--- a/role/gateway/watchdog.go
+++ b/role/gateway/watchdog.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/grademill/grademill/decide/reread"
+	"github.com/grademill/grademill/decide/failover"
 	"github.com/grademill/grademill/decide/timeout"
 	"github.com/grademill/grademill/port/runner"
 )
@@ -223,7 +223,7 @@
 	}
 	q := w.relay.q
 	wait, slack := moved.promptReadTime(q, old, lost.use.fleetFactor()), w.slack(time.Now())
-	if !reread.ShouldRestart(wait, 0, slack) {
+	if !failover.ShouldRestart(wait, 0, slack) {
 		return false
 	}
 	q.everReached.Store(true) // so that the new attempt is charged to the retry budget
@@ -231,7 +231,7 @@
 	if short != shortageNone {
 		return false
 	}
-	if !reread.ShouldRestart(wait, next.promptReadTime(q, nil, 1), slack) || !w.abandonFor(next) {
+	if !failover.ShouldRestart(wait, next.promptReadTime(q, nil, 1), slack) || !w.abandonFor(next) {
 		next.release()
 		w.relay.g.retries.Refund(q.service.Name)
 		return false
--- a/state/conflog/log.go
+++ b/state/configlog/log.go
@@ -1,7 +1,7 @@
-// Package conflog stores the operators' configuration as a log in the platform's
+// Package configlog stores the operators' configuration as a log in the platform's
 // key-value service. A Log appends changes and applies those of all processes to a
 // local replica.
-package conflog
+package configlog
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"github.com/grademill/grademill/decide/config"
 	"github.com/grademill/grademill/decide/policy"
 	"github.com/grademill/grademill/port/kv"
+	"github.com/grademill/grademill/state/configreplica"
 	"github.com/grademill/grademill/state/headlog"
-	"github.com/grademill/grademill/state/replica"
 )
 
 // Keys in the store.
@@ -35,14 +35,14 @@
 // Log reads and appends to the configuration log. Create it with New.
 type Log struct {
 	// Replica is the local replica to which the log applies every change.
-	Replica *replica.Config
+	Replica *configreplica.Config
 
 	store kv.Store
 	log   headlog.Log
 }
 
 // New returns a log in store that applies its changes to r.
-func New(store kv.Store, r *replica.Config) *Log {
+func New(store kv.Store, r *configreplica.Config) *Log {
 	l := &Log{Replica: r, store: store}
 	l.log = headlog.Log{Store: store, Key: headKey, Trim: l.trim}
 	return l
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	for _, record := range h.Records {
-		if state, err = replica.ApplyRecord(state, record); err != nil {
+		if state, err = configreplica.ApplyRecord(state, record); err != nil {
 			return nil, err
 		}
 	}
@@ -229,7 +229,7 @@
 		return 0, err
 	}
 	for _, record := range h.Records[:drop] {
-		if state, err = replica.ApplyRecord(state, record); err != nil {
+		if state, err = configreplica.ApplyRecord(state, record); err != nil {
 			return 0, err
 		}
 	}
--- a/state/replica/config.go
+++ b/state/configreplica/config.go
@@ -1,6 +1,6 @@
-// Package replica holds the configuration in force in one process. Its revision never
+// Package configreplica holds the configuration in force in one process. Its revision never
 // decreases.
-package replica
+package configreplica
 
 import (
 	"encoding/json"
--- a/state/replica/config_test.go
+++ b/state/configreplica/config_test.go
@@ -1,4 +1,4 @@
-package replica_test
+package configreplica_test
 
 import (
 	"errors"
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/grademill/grademill/decide/config"
+	"github.com/grademill/grademill/state/configreplica"
 	"github.com/grademill/grademill/state/headlog"
-	"github.com/grademill/grademill/state/replica"
 )
 
 func records(from, to uint64) []headlog.Record {
@@ -22,7 +22,7 @@
 }
 
 func TestRevisionNeverDecreases(t *testing.T) {
-	c := replica.New()
+	c := configreplica.New()
 	require.NoError(t, c.Apply(records(1, 5)))
 	require.NoError(t, c.Apply(records(2, 4)), "records that are already applied are skipped")
 	require.NoError(t, c.Install(&config.State{Revision: 3}))
@@ -36,10 +36,10 @@
 }
 
 func TestPeersCatchUp(t *testing.T) {
-	from := replica.New()
+	from := configreplica.New()
 	require.NoError(t, from.Apply(records(1, 2000)))
 	for _, have := range []uint64{0, 10, 1500, 1999, 2000} {
-		to := replica.New()
+		to := configreplica.New()
 		require.NoError(t, to.Apply(records(1, have)))
 		reply, err := from.UpdatesSince(to.Revision())
 		require.NoError(t, err)
@@ -53,7 +53,7 @@
 // A policy that does not compile leaves the former policies in force, while the revision
 // advances.
 func TestInvalidPolicyKeepsFormerPolicies(t *testing.T) {
-	c := replica.New()
+	c := configreplica.New()
 	require.NoError(t, c.Apply([]headlog.Record{{Revision: 1, ID: "a", Body: []byte(
 		`{"kind":"policies","name":"p","body":{"match":"true","priority":"7"}}`)}}))
 	former := c.Current().Policies
--- a/state/turnstile/turnstile.go
+++ b/state/inflight/turnstile.go
@@ -1,6 +1,6 @@
-// Package turnstile counts requests in flight and stops admitting them atomically, so that
+// Package inflight counts requests in flight and stops admitting them atomically, so that
 // no request enters unnoticed during shutdown.
-package turnstile
+package inflight
 
 import "sync/atomic"
 
--- a/state/turnstile/turnstile_test.go
+++ b/state/inflight/turnstile_test.go
@@ -1,15 +1,15 @@
-package turnstile_test
+package inflight_test
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/grademill/grademill/state/turnstile"
+	"github.com/grademill/grademill/state/inflight"
 )
 
 func TestCloseOnlyWithoutRequestsInFlight(t *testing.T) {
-	var s turnstile.Counter
+	var s inflight.Counter
 	require.True(t, s.Enter())
 	require.Equal(t, 1, s.Count())
 	require.False(t, s.Close(false), "a request is in flight")
@@ -24,7 +24,7 @@
 // A forced close takes effect while requests are in flight, which still count until they
 // leave.
 func TestForcedCloseKeepsCounting(t *testing.T) {
-	var s turnstile.Counter
+	var s inflight.Counter
 	require.True(t, s.Enter())
 	require.True(t, s.Close(true))
 	require.False(t, s.Enter())
--- a/state/lines/lines.go
+++ b/state/linklimit/lines.go
@@ -1,5 +1,5 @@
-// Package lines bounds the traffic of one gateway over the network links between halls.
-package lines
+// Package linklimit bounds the traffic of one gateway over the network links between halls.
+package linklimit
 
 import (
 	"time"
--- a/state/witnesses/witnesses.go
+++ b/state/reporters/witnesses.go
@@ -1,5 +1,5 @@
-// Package witnesses counts the distinct reporters that recently made the same report.
-package witnesses
+// Package reporters counts the distinct reporters that recently made the same report.
+package reporters
 
 import (
 	"sync"
--- a/state/witnesses/witnesses_test.go
+++ b/state/reporters/witnesses_test.go
@@ -1,4 +1,4 @@
-package witnesses_test
+package reporters_test
 
 import (
 	"testing"
@@ -6,12 +6,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/grademill/grademill/state/witnesses"
+	"github.com/grademill/grademill/state/reporters"
 )
 
 func TestWitnesses(t *testing.T) {
 	now := time.Now()
-	w := witnesses.Reporters{ReportLifetime: time.Second}
+	w := reporters.Reporters{ReportLifetime: time.Second}
 	require.Zero(t, w.Count(now))
 	require.Equal(t, 1, w.Report("a", now))
 	require.Equal(t, 1, w.Report("a", now.Add(100*time.Millisecond)))
--- a/state/budgets/budgets.go
+++ b/state/retrybudgets/budgets.go
@@ -1,6 +1,6 @@
-// Package budgets limits the retries of this process by service, to its share of the
+// Package retrybudgets limits the retries of this process by service, to its share of the
 // retry budgets of the whole fleet.
-package budgets
+package retrybudgets
 
 import (
 	"sync"
--- a/state/budgets/budgets_test.go
+++ b/state/retrybudgets/budgets_test.go
@@ -1,4 +1,4 @@
-package budgets_test
+package retrybudgets_test
 
 import (
 	"testing"
@@ -6,14 +6,14 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/grademill/grademill/state/budgets"
+	"github.com/grademill/grademill/state/retrybudgets"
 )
 
 // Each process has its share of the reserve for each service. The share grows when another
 // process leaves.
 func TestReserveIsDivided(t *testing.T) {
 	size := 4
-	b := budgets.Budgets{Share: 0.2, Reserve: 40, Window: 10 * time.Second, Size: func() int { return size }}
+	b := retrybudgets.Budgets{Share: 0.2, Reserve: 40, Window: 10 * time.Second, Size: func() int { return size }}
 	now := time.Now()
 	allowed := func(service string) (n int) {
 		for b.Allow(service, now) {
--- a/test/proof/config_test.go
+++ b/test/histories/config_test.go
@@ -1,4 +1,4 @@
-package proof_test
+package histories_test
 
 import (
 	"context"
@@ -17,9 +17,9 @@
 	"github.com/grademill/grademill/decide/config"
 	"github.com/grademill/grademill/port/kv"
 	"github.com/grademill/grademill/standin/platform"
-	"github.com/grademill/grademill/state/conflog"
+	"github.com/grademill/grademill/state/configlog"
+	"github.com/grademill/grademill/state/configreplica"
 	"github.com/grademill/grademill/state/headlog"
-	"github.com/grademill/grademill/state/replica"
 )
 
 const (
@@ -130,7 +130,7 @@
 }
 
 // operate makes changes one after another, each conditional on the revision that the operator last saw.
-func operate(r *configRun, mu *sync.Mutex, who int, log *conflog.Log) {
+func operate(r *configRun, mu *sync.Mutex, who int, log *configlog.Log) {
 	for i := range configChanges {
 		current := log.Replica.Current().State
 		in := change{match: current.ObjectRevision(config.KindPolicy, objectName), id: fmt.Sprintf("%d-%d", who, i)}
@@ -165,10 +165,10 @@
 		defer cancel()
 		var mu sync.Mutex
 		var operators, watchers sync.WaitGroup
-		var logs []*conflog.Log
+		var logs []*configlog.Log
 		r.seen = make([][]uint64, configOperators)
 		for who := range configOperators {
-			log := conflog.New(store, replica.New())
+			log := configlog.New(store, configreplica.New())
 			logs = append(logs, log)
 			operators.Go(func() { operate(r, &mu, who, log) })
 			watchers.Go(func() {
--- a/test/proof/once_test.go
+++ b/test/histories/once_test.go
@@ -1,4 +1,4 @@
-package proof_test
+package histories_test
 
 import (
 	"context"
--- a/test/proof/steps_test.go
+++ b/test/histories/steps_test.go
@@ -1,7 +1,7 @@
-// Package proof_test runs the decision packages under many random schedules and
+// Package histories_test runs the decision packages under many random schedules and
 // checks the recorded histories against the guarantees. Where a mechanism can be
 // switched off, a test shows that the check then fails.
-package proof_test
+package histories_test
 
 import (
 	"fmt"
