--- a/role/gateway/digest.go
+++ b/role/gateway/digest.go
@@ -158,8 +158,8 @@
 	if b.use.down() {
 		return
 	}
-	isNew := b.use.witnesses.Count(now) == 0
-	if b.use.witnesses.Report(from, now) >= enoughWitnesses && !b.use.contradicted(now) {
+	isNew := b.use.reporters.Count(now) == 0
+	if b.use.reporters.Report(from, now) >= enoughWitnesses && !b.use.contradicted(now) {
 		g.believeDown(b, now)
 	}
 	switch {
@@ -180,7 +180,7 @@
 	if known {
 		return
 	}
-	g.Log.Info().Str("endpoint", b.ID).Str("address", b.Address).Int("witnesses", b.use.witnesses.Count(now)).
+	g.Log.Info().Str("endpoint", b.ID).Str("address", b.Address).Int("witnesses", b.use.reporters.Count(now)).
 		Int64("active", b.use.active.Load()).Msg("endpoint is down by the word of others")
 	b.use.watchers.checkSoon()
 }
--- a/role/gateway/fleet.go
+++ b/role/gateway/fleet.go
@@ -94,8 +94,8 @@
 	// contradictedUntil until when these reports do not count because it has answered this gateway
 	// meanwhile, in nanoseconds of Unix time.
 	reportedDownSince, contradictedUntil atomic.Int64
-	// witnesses are the other gateways that report it down.
-	witnesses reporters.Reporters
+	// reporters are the other gateways that report it down.
+	reporters reporters.Reporters
 	// begun are the requests that it had just started when it was found silent, nil once it is
 	// known whether it has ended.
 	begun atomic.Pointer[[]suspects.Begun]
@@ -109,8 +109,8 @@
 	// checkedAt is when it last answered a check, and othersCheckedAt when it last answered one of
 	// another gateway, in nanoseconds of Unix time.
 	checkedAt, othersCheckedAt atomic.Int64
-	// holding is what it reports to hold while its record differs, nil for none.
-	holding atomic.Pointer[layerreport.Report]
+	// layerreport is what it reports to hold while its record differs, nil for none.
+	layerreport atomic.Pointer[layerreport.Report]
 	// pendingOrder is the order that it carries out, nil for none known.
 	pendingOrder atomic.Pointer[pendingOrder]
 	// watchers watch the streams that pass through it.
@@ -125,7 +125,7 @@
 
 // newUsage returns the usage of an endpoint that is not used yet.
 func newUsage() *usage {
-	u := &usage{witnesses: reporters.Reporters{ReportLifetime: reportFresh}}
+	u := &usage{reporters: reporters.Reporters{ReportLifetime: reportFresh}}
 	u.health.Store(new(health.Record))
 	return u
 }
@@ -217,7 +217,7 @@
 // noteAnswered records that the endpoint has answered a question asked at begun, and reports
 // whether it had been presumed dead because others reported it down.
 func (u *usage) noteAnswered(begun, now time.Time) bool {
-	if u.witnesses.Count(now) == 0 || begun.UnixNano() <= u.reportedDownSince.Load() {
+	if u.reporters.Count(now) == 0 || begun.UnixNano() <= u.reportedDownSince.Load() {
 		return false
 	}
 	u.contradictedUntil.Store(now.Add(contradictionTime).UnixNano())
--- a/role/gateway/holding.go
+++ b/role/gateway/holding.go
@@ -10,16 +10,16 @@
 // noteLayers records the layers that the endpoint reported at a time.
 func (b *backend) noteLayers(held layer.Range, at time.Time) {
 	if held == b.Layers {
-		b.use.holding.Store(nil)
+		b.use.layerreport.Store(nil)
 		return
 	}
-	b.use.holding.Store(&layerreport.Report{Reported: held, Recorded: b.Layers, At: at})
+	b.use.layerreport.Store(&layerreport.Report{Reported: held, Recorded: b.Layers, At: at})
 }
 
 // reportedLayers returns the layers that the endpoint reported, and whether they count beside its
 // record.
 func (b *backend) reportedLayers(now time.Time) (layer.Range, bool) {
-	h := b.use.holding.Load()
+	h := b.use.layerreport.Load()
 	if h == nil || !h.Overrides(b.Layers, now, recordLag) {
 		return layer.Range{}, false
 	}
--- a/role/gateway/suspect.go
+++ b/role/gateway/suspect.go
@@ -263,7 +263,7 @@
 // noteAnswer records that an endpoint has answered a question asked at begun.
 func (g *Gateway) noteAnswer(b *backend, begun, now time.Time) {
 	if b.use.noteAnswered(begun, now) {
-		g.Log.Info().Str("endpoint", b.ID).Str("address", b.Address).Int("witnesses", b.use.witnesses.Count(now)).
+		g.Log.Info().Str("endpoint", b.ID).Str("address", b.Address).Int("witnesses", b.use.reporters.Count(now)).
 			Msg("endpoint answers, against the word of others")
 	}
 }
@@ -279,7 +279,7 @@
 // once.
 func (g *Gateway) announceLoss(b *backend) {
 	b.use.watchers.checkSoon()
-	if b.use.down() && b.use.witnesses.Count(time.Now()) < enoughWitnesses {
+	if b.use.down() && b.use.reporters.Count(time.Now()) < enoughWitnesses {
 		g.gossip.ReportLoss(b.ID)
 	}
 	g.gossip.SendSoon()
