--- a/adapter/ingress/server.go
+++ b/adapter/ingress/server.go
@@ -2,8 +2,8 @@
 // losing a request. It closes an idle connection only if no part of a request has arrived on
 // it.
 //
-// Set the exported fields of a Server, then call Listen and Run. To shut down, call Retire,
-// wait until Quiet reports true, and call Stop.
+// Set the exported fields of a Server, then call Listen and Run. To shut down, call
+// CloseAfterResponses, wait until Idle reports true, and call Stop.
 package ingress
 
 import (
@@ -31,7 +31,8 @@
 type Limits struct {
 	// MaxIdle is the maximum time that a connection may be idle between requests.
 	MaxIdle time.Duration
-	// MaxHeaderBytes is the maximum size of a request head, HeadWait the maximum time to read it.
+	// MaxHeaderBytes is the maximum size of a request head, ReadHeaderTimeout the maximum
+	// time to read it.
 	MaxHeaderBytes    int
 	ReadHeaderTimeout time.Duration
 }
@@ -58,10 +59,10 @@
 // connKey is the context key of a request's connection.
 type connKey struct{}
 
-// CallerDisconnected reports whether the caller of the request with the given context has closed its
-// connection. The request's context is also cancelled then, but only once the process has had
-// time to read the end of the stream; a request that was left unread for long may no longer
-// have a caller.
+// CallerDisconnected reports whether the caller of the request with the given context has
+// closed its connection. The request's context is also cancelled then, but only once the
+// process has had time to read the end of the stream; a request that was left unread for long
+// may no longer have a caller.
 func CallerDisconnected(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	if !ok {
--- a/adapter/ingress/server_test.go
+++ b/adapter/ingress/server_test.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// After Retire, an idle connection closes with its next response. If the previous response has
-// not quite finished, the connection may close after that one, as it does after a response
-// begun before Retire; a request sent at that moment is not served.
+// After CloseAfterResponses, an idle connection closes with its next response. If the previous
+// response has not quite finished, the connection may close after that one, as it does after a
+// response begun before CloseAfterResponses; a request sent at that moment is not served.
 func TestRetireClosesConnectionsAfterTheirResponses(t *testing.T) {
 	announced := 0
 	for range 20 {
@@ -147,8 +147,9 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// A response whose head went out before Retire cannot announce that the connection closes. The
-// connection must close once that response is complete, and take no further request.
+// A response whose head went out before CloseAfterResponses cannot announce that the
+// connection closes. The connection must close once that response is complete, and take no
+// further request.
 func TestConnectionClosesAfterResponseBegunBeforeRetire(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
 	s := start(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/adapter/link/set.go
+++ b/adapter/link/set.go
@@ -28,8 +28,8 @@
 )
 
 // Set holds the connections to all peers. Set the exported fields before the first use. A
-// connection that breaks loses the messages queued on it: Set calls Down, and the next message
-// opens a new connection.
+// connection that breaks loses the messages queued on it: Set calls OnDisconnect, and the next
+// message opens a new connection.
 type Set struct {
 	// Name and Incarnation identify this process in the hello.
 	Name        string
--- a/adapter/peek/peek.go
+++ b/adapter/peek/peek.go
@@ -11,9 +11,9 @@
 // errNoSocket reports a connection without a socket, which cannot be checked.
 var errNoSocket = errors.New("connection has no socket")
 
-// HasUnread reports whether a connection has bytes that have not been read. It returns io.EOF if
-// the other side has closed the connection and no bytes are left. Another goroutine may read
-// at the same time.
+// HasUnread reports whether a connection has bytes that have not been read. It returns io.EOF
+// if the other side has closed the connection and no bytes are left. Another goroutine may
+// read at the same time.
 func HasUnread(c net.Conn) (bool, error) {
 	source, ok := c.(syscall.Conn)
 	if !ok {
--- a/adapter/peek/peek_test.go
+++ b/adapter/peek/peek_test.go
@@ -11,7 +11,7 @@
 	"github.com/grademill/grademill/adapter/peek"
 )
 
-// Pending reads nothing from the connection and tells its states apart.
+// HasUnread reads nothing from the connection and tells its states apart.
 func TestPending(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,7 +38,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "a", string(b))
 	read := make(chan error)
-	go func() { // Pending also works while another goroutine is reading
+	go func() { // HasUnread also works while another goroutine is reading
 		_, err := far.Read(b)
 		read <- err
 	}()
--- a/adapter/probe/prober.go
+++ b/adapter/probe/prober.go
@@ -1,6 +1,6 @@
 // Package probe checks whether endpoints are alive, and tells a silent endpoint from a process
-// that is too starved of processor time to notice the answer. Call Ask or AskSince on a Prober
-// when a stream from an endpoint stalls or breaks.
+// that is too starved of processor time to notice the answer. Call Query or QuerySince on a
+// Prober when a stream from an endpoint stalls or breaks.
 package probe
 
 import (
@@ -23,8 +23,8 @@
 type Prober struct {
 	// Control sends the request for a report.
 	Control runner.Control
-	// AwaitAnswer returns the reason to give up a request, or nil once answered is closed. If nil,
-	// the function AwaitAnswer of this package is used.
+	// AwaitAnswer returns the reason to give up a request, or nil once answered is closed. If
+	// nil, the function AwaitAnswer of this package is used.
 	AwaitAnswer func(answered <-chan struct{}) error
 	// Reference returns the address of another live endpoint, empty for none. An endpoint that
 	// seems silent is compared with it: if neither answers in time, the network path is
@@ -45,12 +45,12 @@
 }
 
 // Query returns the report of the endpoint at address; it asks the endpoint unless a recent
-// report is known. The error is ErrHeldUp if it is uncertain whether the endpoint is alive.
+// report is known. The error is ErrUncertain if it is uncertain whether the endpoint is alive.
 func (p *Prober) Query(ctx context.Context, address string) (runner.Report, error) {
 	return p.QuerySince(ctx, address, time.Time{})
 }
 
-// QuerySince is like Ask, but does not use the answer to a request sent before since, which
+// QuerySince is like Query, but does not use the answer to a request sent before since, which
 // cannot show what has happened up to then.
 func (p *Prober) QuerySince(ctx context.Context, address string, since time.Time) (runner.Report, error) {
 	entry := p.probeOf(address)
@@ -110,7 +110,7 @@
 
 // noAnswerReason returns the reason why a request has no answer. The client's error hides the
 // context's cause if the client's own timeout has passed, too. That timeout is longer than
-// Silence takes, so a process that reaches it first was starved of processor time. Without
+// AwaitAnswer takes, so a process that reaches it first was starved of processor time. Without
 // this, a starved process took ten endpoints for silent and broke off 18 streams at once.
 func noAnswerReason(ctx context.Context, err error) error {
 	var late interface{ Timeout() bool }
--- a/adapter/probe/prober_test.go
+++ b/adapter/probe/prober_test.go
@@ -34,7 +34,7 @@
 // Guards against taking live endpoints for dead in a starved process. A gateway without
 // processor time for 1.3 s reported ten endpoints as not answering and broke off 18 streams:
 // the HTTP client's own timeout had passed meanwhile, and its error ("Client.Timeout exceeded
-// while awaiting headers") no longer wrapped ErrHeldUp.
+// while awaiting headers") no longer wrapped ErrUncertain.
 func TestStarvedProcessIsReportedWhateverTheClientError(t *testing.T) {
 	never := func(answered <-chan struct{}) error {
 		<-answered
@@ -140,7 +140,7 @@
 	return runner.Report{}, nil
 }
 
-// A shared answer says nothing about events after its request was sent. Without AskSince, an
+// A shared answer says nothing about events after its request was sent. Without QuerySince, an
 // endpoint that had just answered and then ended under a request counted as alive, and its end
 // was not charged to the request.
 func TestAnswerToEarlierRequestIsNotUsed(t *testing.T) {
--- a/adapter/probe/refusal.go
+++ b/adapter/probe/refusal.go
@@ -12,8 +12,8 @@
 // few milliseconds apart.
 const connectTimeout = 300 * time.Millisecond
 
-// ConnectionRefused reports whether the host at address refuses connections, so that the process has
-// ended. Silence proves nothing.
+// ConnectionRefused reports whether the host at address refuses connections, so that the
+// process has ended. Silence proves nothing.
 func ConnectionRefused(ctx context.Context, address string) bool {
 	dialer := net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
 	c, err := dialer.DialContext(ctx, "tcp", address)
--- a/adapter/probe/silence.go
+++ b/adapter/probe/silence.go
@@ -34,7 +34,7 @@
 // AwaitAnswer waits for answered to be closed and returns nil once it is. It returns a
 // *SilentError if a span passes without an answer while this process used little processor
 // time and its timers fired on time. In a starved process the answer may lie unread, so
-// AwaitAnswer waits again; after maxSpans it judges by the timer delay alone and returns ErrHeldUp
+// AwaitAnswer waits again; after maxSpans it judges by the timer delay alone and returns ErrUncertain
 // if that is too long.
 func AwaitAnswer(answered <-chan struct{}) error {
 	var timerDelay time.Duration
--- a/adapter/rpc/client.go
+++ b/adapter/rpc/client.go
@@ -67,8 +67,8 @@
 }
 
 // Call calls a method of the peer at address and decodes the answer into reply. It returns an
-// UnsentError if the request was not sent, a LostError if no answer came, and a jsonrpc2.Error
-// if the peer refused the call.
+// UnsentError if the request was not sent, a NoReplyError if no answer came, and a
+// jsonrpc2.Error if the peer refused the call.
 func (c *Client) Call(ctx context.Context, address, method string, request, reply proto.Message) error {
 	conn, err := c.conn(ctx, address)
 	if err != nil {
--- a/adapter/upstream/call.go
+++ b/adapter/upstream/call.go
@@ -28,8 +28,8 @@
 	// Matches reports whether a response with these headers belongs to this request. Other
 	// responses are skipped, since an endpoint may answer a request twice.
 	Matches func(http.Header) bool
-	// BeforeWrite, if set, is called just before the request is written: from then on the endpoint
-	// may receive it.
+	// BeforeWrite, if set, is called just before the request is written: from then on the
+	// endpoint may receive it.
 	BeforeWrite func()
 }
 
--- a/decide/apportion/division.go
+++ b/decide/apportion/division.go
@@ -40,12 +40,12 @@
 	// Fleet is the number of gateways, Own included. An even share is set aside for each gateway
 	// without a report, because it may be cut off from this gateway alone.
 	Fleet int
-	// Own is this gateway's claim, Near holds those of the gateways that report to it one by one,
-	// and Far those of other halls.
+	// Own is this gateway's claim, Individual holds those of the gateways that report to it one by
+	// one, and HallSums those of other halls.
 	Own                  Claim
 	Individual, HallSums []Claim
-	// EvenShare is the fraction of the limit that is divided evenly, from 0 to 1. The rest is divided in
-	// proportion to demand.
+	// EvenShare is the fraction of the limit that is divided evenly, from 0 to 1. The rest is
+	// divided in proportion to demand.
 	EvenShare float64
 }
 
--- a/decide/assignment/planner.go
+++ b/decide/assignment/planner.go
@@ -1,5 +1,5 @@
-// Package assignment plans which layers idle endpoints load for models that cannot serve because
-// layers are missing. Planner.Plan returns the orders.
+// Package assignment plans which layers idle endpoints load for models that cannot serve
+// because layers are missing. Planner.Plan returns the orders.
 package assignment
 
 import (
--- a/decide/catalog/service.go
+++ b/decide/catalog/service.go
@@ -26,8 +26,8 @@
 	Step, PerSequence, PerContext time.Duration
 	// ReadRate is the number of prompt tokens read per second.
 	ReadRate float64
-	// TransferPerToken is the data that an endpoint passes on for one token, in MB, and LinkRate the
-	// capacity of the link between two halls, in MB per second; 0 means no bound.
+	// TransferPerToken is the data that an endpoint passes on for one token, in MB, and
+	// LinkRate the capacity of the link between two halls, in MB per second; 0 means no bound.
 	TransferPerToken, LinkRate float64
 	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
@@ -43,8 +43,8 @@
 type Card struct {
 	// Memory is in MB.
 	Memory float64
-	// TokenTimeFactor is a factor on the time per token, PromptTimeFactor one on the time to read a prompt; higher is
-	// slower.
+	// TokenTimeFactor is a factor on the time per token, PromptTimeFactor one on the time to
+	// read a prompt; higher is slower.
 	TokenTimeFactor, PromptTimeFactor float64
 }
 
--- a/decide/chain/finder.go
+++ b/decide/chain/finder.go
@@ -7,7 +7,7 @@
 	"github.com/grademill/grademill/decide/layer"
 )
 
-// MaxStages is the largest number of parts in a chain. Engines refuse longer chains.
+// MaxStages is the largest number of stages in a chain. Engines refuse longer chains.
 const MaxStages = 32
 
 // initialCapacity is the capacity of a new chain.
@@ -16,7 +16,7 @@
 // Holder is an endpoint that holds layers, with the current cost of using it.
 type Holder struct {
 	ID, Address string
-	// Hall is the index of the data hall in Finder.Hops.
+	// Hall is the index of the data hall in Finder.HopCost.
 	Hall   int
 	Layers layer.Range
 	// CostPerLayer is the cost of one layer for one token, in seconds.
@@ -44,7 +44,7 @@
 	cheapestEnds []int16
 }
 
-// Find returns the cheapest chain of holders, and false when none of at most MaxParts covers
+// Find returns the cheapest chain of holders, and false when none of at most MaxStages covers
 // all layers. Where the cheapest chain would return to a holder, that holder runs the layers
 // between as well, since engines accept each endpoint only once in a chain.
 func (f *Finder) Find(holders []Holder) (Chain, bool) {
--- a/decide/departure/departure.go
+++ b/decide/departure/departure.go
@@ -1,5 +1,5 @@
 // Package departure defines Departure, which marks an endpoint as taking no new work. Covers
-// applies a departure to an endpoint, and With combines two departures of the same one.
+// applies a departure to an endpoint, and Merge combines two departures of the same one.
 package departure
 
 import "github.com/grademill/grademill/decide/endpoint"
--- a/decide/endpoint/endpoint.go
+++ b/decide/endpoint/endpoint.go
@@ -29,8 +29,8 @@
 	Version int
 }
 
-// Supersedes reports whether e is a later incarnation than other, which has the same ID. Without a
-// start time of both, they count as the same incarnation.
+// Supersedes reports whether e is a later incarnation than other, which has the same ID.
+// Without a start time of both, they count as the same incarnation.
 func (e Endpoint) Supersedes(other Endpoint) bool {
 	return e.Born != 0 && other.Born != 0 && e.Born > other.Born
 }
--- a/decide/failover/reread.go
+++ b/decide/failover/reread.go
@@ -12,8 +12,8 @@
 
 // Reader is an endpoint that has to read the prompt.
 type Reader struct {
-	// OwnPrompts is the number of this gateway's prompts that it reads, including the stream's. OtherPrompts is
-	// that of the other gateways, as far as reported.
+	// OwnPrompts is the number of this gateway's prompts that it reads, including the stream's.
+	// OtherPrompts is that of the other gateways, as far as reported.
 	OwnPrompts, OtherPrompts float64
 	// Share is its share of the model's layers. TimeFactor is the time its hardware takes to read a
 	// prompt, relative to the fastest.
@@ -35,9 +35,9 @@
 	return time.Duration(longest * float64(alone))
 }
 
-// ShouldRestart reports whether a stream should restart along another chain: its next event would be late
-// after the time move, and would come much sooner after the time other. The parameter spare is the
-// time left for the event.
+// ShouldRestart reports whether a stream should restart along another chain: its next event would be
+// late after the time move, and would come much sooner after the time other. The parameter spare is
+// the time left for the event.
 func ShouldRestart(move, other, spare time.Duration) bool {
 	return move >= spare && minSpeedup*other <= move
 }
--- a/decide/freshness/freshness.go
+++ b/decide/freshness/freshness.go
@@ -38,8 +38,8 @@
 	return p.Revocation == 0 || age < p.maxReadyAge()
 }
 
-// WatchTimeout returns the duration of a watch request. While one is pending, the latest proof dates from
-// the start of the request before it, so a proof becomes as old as two requests last.
+// WatchTimeout returns the duration of a watch request. While one is pending, the latest proof
+// dates from the start of the request before it, so a proof becomes as old as two requests last.
 func (p Policy) WatchTimeout() time.Duration {
 	if p.Revocation == 0 {
 		return maxWait
@@ -48,7 +48,8 @@
 	return min(max(oldest/2, minWait), maxWait)
 }
 
-// TimeUntilLate returns the time until a proof of the given age is late, if calls to the store succeed.
+// TimeUntilLate returns the time until a proof of the given age is late, if calls to the store
+// succeed.
 func (p Policy) TimeUntilLate(age time.Duration) time.Duration {
 	return 2*p.WatchTimeout() + sendMargin - age
 }
--- a/decide/layerreport/holding.go
+++ b/decide/layerreport/holding.go
@@ -1,5 +1,5 @@
 // Package layerreport tracks endpoints whose own report of their layers contradicts their record in
-// the store. A Holding is such a report; Counts tells for how long it takes precedence.
+// the store. A Report is such a report; Overrides tells for how long it takes precedence.
 package layerreport
 
 import (
--- a/decide/limit/learned.go
+++ b/decide/limit/learned.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Adaptive is an adaptive limit on open sessions: the largest number that keeps the duration of a
-// step, including its wait, at the target. By Little's law that duration is proportional to the
-// number of sessions, so each observed step yields an estimate, and the limit is their running
-// mean. It is an immutable value: the With methods return changed copies.
+// Adaptive is an adaptive limit on open sessions: the largest number that keeps the duration of
+// a step, including its wait, at the target. By Little's law that duration is proportional to
+// the number of sessions, so each observed step yields an estimate, and the limit is their
+// running mean. It is an immutable value: the With methods return changed copies.
 type Adaptive struct {
 	// Min and Max bound the limit; 1 <= Min <= Max.
 	Min, Max int
--- a/decide/member/set.go
+++ b/decide/member/set.go
@@ -12,8 +12,8 @@
 
 // Set is a set of known entries. The zero Set is empty. It is not safe for concurrent use.
 type Set struct {
-	// Retention is how long an entry that is not on the platform's list stays known after it was
-	// last heard of.
+	// Retention is how long an entry that is not on the platform's list stays known after it
+	// was last heard of.
 	Retention time.Duration
 
 	state  map[string]*state
@@ -31,7 +31,8 @@
 	heard         time.Time
 }
 
-// ApplyHostList records the platform's list. An empty list carries no information and is ignored.
+// ApplyHostList records the platform's list. An empty list carries no information and is
+// ignored.
 func (s *Set) ApplyHostList(now time.Time, peers []*wire.Peer) {
 	if len(peers) == 0 {
 		return
@@ -58,9 +59,9 @@
 	}
 }
 
-// RecordReported records an entry reported by another one. Shared leaves the entry out until a message
-// comes from the entry itself: otherwise two processes could keep a dead entry alive by
-// reporting it to each other.
+// RecordReported records an entry reported by another one. Shared leaves the entry out until a
+// message comes from the entry itself: otherwise two processes could keep a dead entry alive
+// by reporting it to each other.
 func (s *Set) RecordReported(now time.Time, p *wire.Peer) {
 	if _, old := s.state[p.GetAddress()]; old {
 		return
@@ -70,7 +71,7 @@
 }
 
 // Expire removes entries that are not on the list and have not been heard of for longer than
-// Keep.
+// Retention.
 func (s *Set) Expire(now time.Time) {
 	changed := false
 	for address, k := range s.state {
--- a/decide/overlay/overlay.go
+++ b/decide/overlay/overlay.go
@@ -26,10 +26,11 @@
 	Address string
 	// Hall is its data hall.
 	Hall string
-	// HeardDirectly is set while digests arrive from the gateway itself, and not only reports of it by
-	// others.
+	// HeardDirectly is set while digests arrive from the gateway itself, and not only reports of
+	// it by others.
 	HeardDirectly bool
-	// StoreUnreachable is set while the store does not answer the gateway, according to its own last report.
+	// StoreUnreachable is set while the store does not answer the gateway, according to its own
+	// last report.
 	StoreUnreachable bool
 	// LinkMegabits is the link capacity of the gateway's host in Mbit/s, 0 when unknown.
 	LinkMegabits uint32
@@ -137,9 +138,9 @@
 // storeKey is the rendezvous key that ranks gateways for asking the store.
 const storeKey = "store"
 
-// StoreReaders returns the gateways of this one's hall that ask the store for changes, so that this one
-// asks them instead of the store. It returns none when this one must ask the store itself. Half of
-// a hall's gateways get them in reverse order, which spreads the load.
+// StoreReaders returns the gateways of this one's hall that ask the store for changes, so that
+// this one asks them instead of the store. It returns none when this one must ask the store
+// itself. Half of a hall's gateways get them in reverse order, which spreads the load.
 func (o Overlay) StoreReaders() []Member {
 	list, rank := o.storeRanking()
 	if rank < storeReaderCount {
@@ -152,8 +153,8 @@
 	return list
 }
 
-// StandbyStoreReaders returns the gateways of this one's hall that ask the store while those of Seats have
-// no answer, and reports whether this one is among them.
+// StandbyStoreReaders returns the gateways of this one's hall that ask the store while those of
+// StoreReaders have no answer, and reports whether this one is among them.
 func (o Overlay) StandbyStoreReaders() (list []Member, self bool) {
 	list, rank := o.storeRanking()
 	if rank < storeReaderCount+standbyCount {
@@ -188,8 +189,8 @@
 	return slices.IndexFunc(list, func(m Member) bool { return m.Name == o.Self.Name })
 }
 
-// ItemRank returns the number of gateways that are responsible before this one for an item of a hall,
-// such as an endpoint. The gateways of that hall come first.
+// ItemRank returns the number of gateways that are responsible before this one for an item of a
+// hall, such as an endpoint. The gateways of that hall come first.
 func (o Overlay) ItemRank(key, hall string) int {
 	inHall := o.live(hall)
 	if hall == o.Self.Hall {
@@ -207,9 +208,9 @@
 // cleanKey is the rendezvous key that ranks gateways for cleaning up after ended gateways.
 const cleanKey = "clean"
 
-// CleansUpAfter reports whether this gateway cleans up after another one that has ended. The delegate
-// of the ended gateway's hall does so; where the fleet is flat, or no gateway of that hall
-// remains, one of the fleet does.
+// CleansUpAfter reports whether this gateway cleans up after another one that has ended. The
+// delegate of the ended gateway's hall does so; where the fleet is flat, or no gateway of that
+// hall remains, one of the fleet does.
 func (o Overlay) CleansUpAfter(ended Member) bool {
 	if !o.Flat() && (ended.Hall == o.Self.Hall || len(o.PeersIn(ended.Hall)) > 0) {
 		return ended.Hall == o.Self.Hall && o.IsDelegate()
--- a/decide/placement/coverage.go
+++ b/decide/placement/coverage.go
@@ -28,8 +28,8 @@
 	// supply is the number of tokens for which the holders of each layer have room. A card that
 	// holds fewer layers than planned counts as filled to the planned share.
 	supply []float64
-	// fastest is the lowest catalog.Card Pace among the holders of each layer, 0 without
-	// holders.
+	// fastest is the lowest catalog.Card TokenTimeFactor among the holders of each layer, 0
+	// without holders.
 	fastest []float64
 	// soleHolderLen is the length of the range of a layer's only holder, 0 unless there is
 	// exactly one.
--- a/decide/requestlog/story.go
+++ b/decide/requestlog/story.go
@@ -1,5 +1,5 @@
-// Package requestlog reconstructs from the logs of the gateways what happened to a request and why. A
-// Story reads the logs; Write prints the relevant lines, and Verdict returns the result.
+// Package requestlog reconstructs from the logs of the gateways what happened to a request and why.
+// A Log reads the logs; Write prints the relevant lines, and Verdict returns the result.
 package requestlog
 
 import (
--- a/decide/retryafter/book.go
+++ b/decide/retryafter/book.go
@@ -15,9 +15,9 @@
 	minRate = 4
 )
 
-// Schedule assigns rejected callers times to retry, spaced at the rate at which room becomes available:
-// callers with the same delay would arrive together and be rejected together. The zero Schedule is
-// ready to use. It is not safe for concurrent use.
+// Schedule assigns rejected callers times to retry, spaced at the rate at which room becomes
+// available: callers with the same delay would arrive together and be rejected together. The zero
+// Schedule is ready to use. It is not safe for concurrent use.
 type Schedule struct {
 	// last is the latest time assigned.
 	last time.Time
@@ -27,10 +27,10 @@
 type Load struct {
 	// Admitted is the rate of requests admitted, per second.
 	Admitted float64
-	// RequestDuration is the typical duration of a request, 0 if unknown. No delay is shorter, because a slot
-	// that is taken is usually still taken a moment later: of callers told to retry after the
-	// duration, 8 in 1,000 were rejected again; of those told to retry after half a second, 19
-	// (smallest cards at 1.4 times their capacity).
+	// RequestDuration is the typical duration of a request, 0 if unknown. No delay is shorter,
+	// because a slot that is taken is usually still taken a moment later: of callers told to retry
+	// after the duration, 8 in 1,000 were rejected again; of those told to retry after half a
+	// second, 19 (smallest cards at 1.4 times their capacity).
 	RequestDuration time.Duration
 }
 
--- a/decide/throttle/throttle.go
+++ b/decide/throttle/throttle.go
@@ -12,8 +12,8 @@
 	// MinLimit is the lowest limit in effect, in requests per second: an endpoint that states
 	// less gets one request in ten seconds, whose answer tells when its limit rises.
 	MinLimit = 0.1
-	// MaxBackoff bounds the backoff period in effect. An endpoint that needs longer shuts down, and a
-	// Retry-After of a year, sent by mistake, must not exclude it.
+	// MaxBackoff bounds the backoff period in effect. An endpoint that needs longer shuts down, and
+	// a Retry-After of a year, sent by mistake, must not exclude it.
 	MaxBackoff = 5 * time.Minute
 	// BurstSpan is the period over which a gateway accumulates its unused share of a limit, and
 	// always at least one request. It is short compared with the seconds over which endpoints
@@ -146,7 +146,7 @@
 	return t
 }
 
-// Held returns why no request may be sent at now, or Free.
+// Held returns why no request may be sent at now, or NotHeld.
 func (t Throttle) Held(now time.Time) HoldReason {
 	switch {
 	case t.leaving:
@@ -159,8 +159,8 @@
 	return NotHeld
 }
 
-// NextSend returns the earliest time at which a request may be sent, as known at now, or false if that
-// time is not known.
+// NextSend returns the earliest time at which a request may be sent, as known at now, or false if
+// that time is not known.
 func (t Throttle) NextSend(now time.Time) (time.Time, bool) {
 	if t.leaving {
 		return time.Time{}, false
@@ -218,8 +218,8 @@
 	return t.Demand(now)
 }
 
-// ReportsLimit reports whether this gateway should report the limit, or its withdrawal, to its peers at
-// now.
+// ReportsLimit reports whether this gateway should report the limit, or its withdrawal, to its peers
+// at now.
 func (t Throttle) ReportsLimit(now time.Time) bool {
 	return t.Named() || !t.limit.At.IsZero() && now.Sub(t.limit.At) < withdrawalReportSpan
 }
--- a/decide/view/view.go
+++ b/decide/view/view.go
@@ -50,8 +50,8 @@
 	listedLeaving bool
 }
 
-// RecordIntroduction records an endpoint's introduction of itself. It reports whether choices may
-// change.
+// RecordIntroduction records an endpoint's introduction of itself. It reports whether choices
+// may change.
 func (v *View) RecordIntroduction(e fleet.Endpoint) bool {
 	if v.state == nil {
 		v.state = make(map[string]*state)
@@ -78,9 +78,9 @@
 		former.Leaving != e.Leaving || former.Address != e.Address || former.Service != e.Service
 }
 
-// RecordHeartbeat records a heartbeat: the time, the agent's epoch and its load report. It returns the
-// endpoint and whether choices may change; ok is false when no endpoint of that incarnation is
-// known.
+// RecordHeartbeat records a heartbeat: the time, the agent's epoch and its load report. It
+// returns the endpoint and whether choices may change; ok is false when no endpoint of that
+// incarnation is known.
 func (v *View) RecordHeartbeat(now time.Time, incarnation, epoch uint64, r route.Report) (e fleet.Endpoint, changed, ok bool) {
 	k := v.byIncarnation[incarnation]
 	if k == nil {
@@ -101,8 +101,8 @@
 	}
 }
 
-// MarkSuspect excludes an endpoint from work until its next heartbeat. It reports whether choices
-// may change.
+// MarkSuspect excludes an endpoint from work until its next heartbeat. It reports whether
+// choices may change.
 func (v *View) MarkSuspect(name string) bool {
 	k := v.state[name]
 	if k == nil || k.suspect {
@@ -112,7 +112,7 @@
 	return true
 }
 
-// MarkAddressSuspect is like Suspect for the endpoint with an agent's address.
+// MarkAddressSuspect is like MarkSuspect for the endpoint with an agent's address.
 func (v *View) MarkAddressSuspect(address string) bool {
 	for name, k := range v.state {
 		if k.endpoint.Address == address {
@@ -122,8 +122,8 @@
 	return false
 }
 
-// ApplyHostList records which hosts the platform's list reports as leaving, by the agents' addresses.
-// It reports whether choices may change.
+// ApplyHostList records which hosts the platform's list reports as leaving, by the agents'
+// addresses. It reports whether choices may change.
 func (v *View) ApplyHostList(leaving map[string]bool) bool {
 	changed := false
 	for _, k := range v.state {
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -62,7 +62,7 @@
 		e.Killed, len(e.Answer.Tokens), tokens, e.Answer.Attempts, e.Answer.ChainBefore, e.Answer.ChainAfter)
 }
 
-// Run runs the demo. It returns a NotCarriedError if the answer whose agent is killed is incomplete or
+// Run runs the demo. It returns a NotResumedError if the answer whose agent is killed is incomplete or
 // wrong, or came along only one chain.
 func (d *Demo) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -110,7 +110,7 @@
 }
 
 // checkRecovery requests an answer and kills the agent of the middle stage after half of the tokens. It returns
-// a NotCarriedError if the answer does not resume on another chain with the tokens of the model.
+// a NotResumedError if the answer does not resume on another chain with the tokens of the model.
 func (d *Demo) checkRecovery(ctx context.Context, l *lab.Lab) error {
 	const prompt = "Plan three workouts for a beginner."
 	killed := ""
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -104,7 +104,7 @@
 )
 
 // Start starts all processes and returns once every entry knows every endpoint and
-// the configuration. It returns an UnsettledError if that takes longer than
+// the configuration. It returns a StartTimeoutError if that takes longer than
 // startTimeout.
 func (l *Lab) Start(ctx context.Context) error {
 	l.Store = new(platform.Store)
--- a/port/exchange/exchange.go
+++ b/port/exchange/exchange.go
@@ -18,8 +18,8 @@
 	ID string
 	// Key is the API key, empty if the caller sends none.
 	Key string
-	// CallerTimeout is how long the caller waits for the answer, 0 if the headers do not state
-	// it.
+	// CallerTimeout is how long the caller waits for the answer, 0 if the headers do not
+	// state it.
 	CallerTimeout time.Duration
 	// Prompt is the number of tokens in the prompt, MaxAnswer the maximum number in the
 	// answer, and ExpectedAnswer the number that the caller expects. Each is 0 if the
@@ -29,8 +29,8 @@
 	LastEvent string
 }
 
-// EndpointHeaders holds the contents of the headers that a gateway sends to an endpoint with a
-// request.
+// EndpointHeaders holds the contents of the headers that a gateway sends to an endpoint
+// with a request.
 type EndpointHeaders struct {
 	// Team is the team to which the caller's key belongs, empty for public routes.
 	Team string
@@ -63,16 +63,18 @@
 	// Running and Waiting count the endpoint's requests, and Slots is the number that
 	// it can run at a time. Slots is 0 if the answer does not report the load.
 	Running, Waiting, Slots int
-	// Report is the endpoint's report on the requests that it accepts: its rate limit, the
-	// backoff period that it asks for, and whether it is leaving.
+	// Report is the endpoint's report on the requests that it accepts: its rate limit,
+	// the backoff period that it asks for, and whether it is leaving.
 	Report throttle.Report
 }
 
 // Dialect reads and writes a platform's headers. Its methods are safe for concurrent use.
 type Dialect interface {
-	// RequestHeaders reads a caller's headers. It returns an error if a header cannot be read.
+	// RequestHeaders reads a caller's headers. It returns an error if a header cannot be
+	// read.
 	RequestHeaders(h http.Header) (RequestHeaders, error)
-	// EndpointHeaders changes h, a copy of a caller's headers, into the headers for an endpoint.
+	// EndpointHeaders changes h, a copy of a caller's headers, into the headers for an
+	// endpoint.
 	EndpointHeaders(h http.Header, s EndpointHeaders)
 	// ReplyHeaders reads the status and the headers of an endpoint's answer.
 	ReplyHeaders(status int, h http.Header) ReplyHeaders
--- a/port/kv/feed.go
+++ b/port/kv/feed.go
@@ -18,8 +18,8 @@
 	// Lag before the call was sent. It is 0 in pages of the store itself, and negative if
 	// another process held the call until it had newer data.
 	Lag time.Duration
-	// RateLimited is set if the process that answered limits the rate of calls, so that the
-	// caller need not.
+	// RateLimited is set if the process that answered limits the rate of calls, so that
+	// the caller need not.
 	RateLimited bool
 }
 
--- a/port/runner/control.go
+++ b/port/runner/control.go
@@ -48,8 +48,8 @@
 	After uint64
 	// Layers is the range of layers to hold in place of the present one.
 	Layers layer.Range
-	// Abort tells the endpoint to abort the requests that still pass through the layers that
-	// it gives up. Otherwise it waits for them to end.
+	// Abort tells the endpoint to abort the requests that still pass through the layers
+	// that it gives up. Otherwise it waits for them to end.
 	Abort bool
 }
 
@@ -71,8 +71,8 @@
 	Status int
 	// Fenced is set if the endpoint has seen an order with a higher fence.
 	Fenced bool
-	// RefusedBy is the address of the endpoint that cannot take its share of a chain, empty
-	// for none.
+	// RefusedBy is the address of the endpoint that cannot take its share of a chain,
+	// empty for none.
 	RefusedBy string
 }
 
--- a/role/admission/queue.go
+++ b/role/admission/queue.go
@@ -2,8 +2,8 @@
 // decides in which order they are admitted, how long each may wait, which are refused at once, and
 // after what delay a refused caller is to retry.
 //
-// Each gateway has one [Line]: call Run once, then Arrive and Enter for each request, and ComeBack
-// for each that Enter refused.
+// Each gateway has one [Queue]: call Run once, then Arrive and Enter for each request, and
+// RetryAfter for each that Enter refused.
 package admission
 
 import (
--- a/role/admission/request.go
+++ b/role/admission/request.go
@@ -7,14 +7,14 @@
 	Service, Team string
 	// Priority starts at 0, the least urgent.
 	Priority int
-	// RouteTimeout is the timeout of the route. CallerTimeout is the timeout that the caller has set, 0 for
-	// none.
+	// RouteTimeout is the timeout of the route. CallerTimeout is the timeout that the caller has
+	// set, 0 for none.
 	RouteTimeout, CallerTimeout time.Duration
 	// Objective is the target for the time to the first event.
 	Objective time.Duration
 	// Start is when the request arrived. After Deadline its answer is of no use to the caller.
 	Start, Deadline time.Time
-	// Retried is set for a retry, as reported by [Line.Arrive]. Begun is set once an endpoint may
+	// Retried is set for a retry, as reported by [Queue.Arrive]. Begun is set once an endpoint may
 	// have received the request.
 	Retried, Begun bool
 }
--- a/role/announcer/announcer.go
+++ b/role/announcer/announcer.go
@@ -1,7 +1,7 @@
 // Package announcer publishes the address of a gateway in the store and learns the addresses of the
 // other gateways from there.
 //
-// Run an [Announcer] per gateway, and pass it each change of the store with Put and Gone.
+// Run an [Announcer] per gateway, and pass it each change of the store with Put and Removed.
 package announcer
 
 import (
@@ -183,8 +183,8 @@
 	return true
 }
 
-// Removed handles the removal of a key at a revision, and reports whether it was the announcement of a
-// gateway.
+// Removed handles the removal of a key at a revision, and reports whether it was the announcement
+// of a gateway.
 func (a *Announcer) Removed(key string, revision uint64) bool {
 	if !strings.HasPrefix(key, prefix) {
 		return false
--- a/role/entry/call.go
+++ b/role/entry/call.go
@@ -98,7 +98,7 @@
 	_ runonce.Reservations = (*call)(nil)
 )
 
-// Enter implements runonce.Seats.
+// Enter implements runonce.Reservations.
 func (c *call) Enter(ctx context.Context, avoid map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
 	s, report := c.entry.gate.Enter(ctx, gate.Ticket[*reservation]{
 		Lane: c.request.Service, Team: c.request.Team, Weight: c.weight, Priority: c.decision.Priority, Cost: 1,
--- a/role/gate/gate.go
+++ b/role/gate/gate.go
@@ -2,7 +2,7 @@
 // priority and of the fair shares of teams. It refuses at once a request whose expected wait is
 // longer than its deadline allows.
 //
-// Each request calls Enter on a shared [Gate]; whoever frees room calls Poke.
+// Each request calls Enter on a shared [Gate]; whoever frees room calls AdmitWaiting.
 package gate
 
 import (
--- a/role/gateway/gateway.go
+++ b/role/gateway/gateway.go
@@ -75,7 +75,7 @@
 	// between gateways uses a bounded share of it.
 	LinkRate float64
 	// Store holds the configuration, the records of endpoints and the state on which gateways must
-	// agree. Records decodes the entries that others write there.
+	// agree. Decoders decodes the entries that others write there.
 	Store    Store
 	Decoders Decoders
 	// Dialect translates headers, Runners gives orders to endpoints.
--- a/role/gateway/members.go
+++ b/role/gateway/members.go
@@ -23,7 +23,7 @@
 	g.members.usage = make(map[string]*usage)
 	g.membership = membership.Membership{
 		ID: g.Decoders.EndpointID, Decode: g.Decoders.DecodeEndpoint, Log: g.Log,
-		OnRemoved: g.dropped, Restarted: g.restarted, OnOverruled: g.rebuild,
+		Dropped: g.dropped, Restarted: g.restarted, Overruled: g.rebuild,
 	}
 }
 
--- a/role/gateway/meter.go
+++ b/role/gateway/meter.go
@@ -22,8 +22,8 @@
 	Order(result string)
 	// Held counts a request that an endpoint does not accept for now, by the reason.
 	Held(reason string)
-	// Endpoints records how many endpoints take new work, and how many are leaving, as known to this
-	// gateway.
+	// Endpoints records how many endpoints take new work, and how many are leaving, as known to
+	// this gateway.
 	Endpoints(open, leaving int)
 	// Store records the revision up to which the store is known.
 	Store(revision uint64)
--- a/role/gossip/gossip.go
+++ b/role/gossip/gossip.go
@@ -65,7 +65,8 @@
 	HandleDigest(d *wire.Digest, now time.Time)
 	// HandleLoss handles the report that an endpoint does not answer another gateway.
 	HandleLoss(l *wire.Loss, now time.Time)
-	// HandleEnds handles another gateway's report of endpoints that have ended while they ran requests.
+	// HandleEnds handles another gateway's report of endpoints that have ended while they ran
+	// requests.
 	HandleEnds(e *wire.Ends, now time.Time)
 	// Tick is called before each digest.
 	Tick(now time.Time)
@@ -78,8 +79,8 @@
 	Incarnation uint64
 	Local       Local
 	Peers       *peers.Table
-	// FlatFleetSize is the largest fleet in which each gateway sends its digest to all others, 0 for
-	// [overlay.FlatSize].
+	// FlatFleetSize is the largest fleet in which each gateway sends its digest to all others, 0
+	// for [overlay.FlatSize].
 	FlatFleetSize int
 	// LinkRate is the bandwidth of the host's link in bytes per second, 0 if unknown. If it is
 	// unknown, digests are not limited.
@@ -118,7 +119,7 @@
 	return overlay.Overlay{Self: s.Self}
 }
 
-// Init prepares for News and Run.
+// Init prepares for SendSoon and Run.
 func (s *Gossip) Init() {
 	s.updates = make(chan struct{}, 1)
 	s.relayed = make(map[string]time.Time)
--- a/role/membership/membership.go
+++ b/role/membership/membership.go
@@ -14,19 +14,19 @@
 	"github.com/grademill/grademill/wire/gossip"
 )
 
-// Membership tracks the endpoints of a fleet. Set the exported fields before the first use. Put and Gone
+// Membership tracks the endpoints of a fleet. Set the exported fields before the first use. Put and Removed
 // must be called by one goroutine; the other methods are safe for concurrent use.
 type Membership struct {
 	// ID returns the endpoint whose record has the given key in the store, and Decode decodes a record.
 	ID     func(key string) (string, bool)
 	Decode func(id string, text []byte) (endpoint.Endpoint, error)
-	// OnRemoved is called with the last record of an endpoint that no longer has one, Restarted with the last
+	// Dropped is called with the last record of an endpoint that no longer has one, Restarted with the last
 	// record of an incarnation that another one has replaced.
-	OnRemoved, Restarted func(roster.Record)
-	// OnOverruled is called when another gateway has reported the departure of an endpoint whose record does
+	Dropped, Restarted func(roster.Record)
+	// Overruled is called when another gateway has reported the departure of an endpoint whose record does
 	// not show it.
-	OnOverruled func()
-	Log         zerolog.Logger
+	Overruled func()
+	Log       zerolog.Logger
 
 	// Roster holds the endpoints.
 	Roster roster.Roster
@@ -67,7 +67,8 @@
 	}
 }
 
-// Removed processes the removal of a key from the store at a revision if the key was the record of an endpoint.
+// Removed processes the removal of a key from the store at a revision if the key was the record of an
+// endpoint.
 func (m *Membership) Removed(key string, revision uint64) {
 	id, ok := m.ID(key)
 	if !ok {
@@ -80,7 +81,7 @@
 
 // drop handles an endpoint that no longer has a record.
 func (m *Membership) drop(r roster.Record) {
-	m.OnRemoved(r)
+	m.Dropped(r)
 	m.Log.Info().Bool("leaving", r.Leaving).Uint64("former_revision", r.Revision).Dur("record_age_ms", time.Since(r.Since)).
 		Str("endpoint", r.ID).Msg("endpoint gone")
 }
@@ -99,8 +100,8 @@
 	}
 }
 
-// HandleReport processes the departures that another gateway reports: this gateway's copy of the store may be behind.
-// A report of one gateway is enough, since it holds what the store says and not a conclusion.
+// HandleReport processes the departures that another gateway reports: this gateway's copy of the store may be
+// behind. A report of one gateway is enough, since it holds what the store says and not a conclusion.
 func (m *Membership) HandleReport(d *gossip.Digest, now time.Time) {
 	overruled := false
 	for _, reported := range d.GetDepartures() {
@@ -118,6 +119,6 @@
 		}
 	}
 	if overruled {
-		m.OnOverruled()
+		m.Overruled()
 	}
 }
--- a/role/partition/detector.go
+++ b/role/partition/detector.go
@@ -84,9 +84,9 @@
 	return d.outages.Any(d.Clock())
 }
 
-// HandleReport processes an outage that another gateway reports, 0 for none. If the outage is new, HandleReport queries the
-// store immediately: the other gateway must know within a fraction of a second whether to send its callers
-// elsewhere.
+// HandleReport processes an outage that another gateway reports, 0 for none. If the outage is new,
+// HandleReport queries the store immediately: the other gateway must know within a fraction of a second
+// whether to send its callers elsewhere.
 func (d *Detector) HandleReport(from string, number uint64, now time.Time) {
 	if d.outages.HandleReport(from, number, d.Clock()) && d.Loaded.Load() && !d.Failing.Load() {
 		d.refresh(now)
--- a/role/quarantine/quarantine.go
+++ b/role/quarantine/quarantine.go
@@ -65,7 +65,7 @@
 	Self string
 	// Keepers returns the gateways that count the ends of the request with the given key.
 	Keepers func(key string) []overlay.Member
-	// SendEnds sends a datagram to gateways, News causes a digest to be sent soon.
+	// SendEnds sends a datagram to gateways, SendSoon causes a digest to be sent soon.
 	SendEnds func(e *wire.Ends, to ...overlay.Member)
 	SendSoon func()
 	// HasEnded reports whether an incarnation of an endpoint has certainly ended. If it may still be
--- a/role/quarantine/store.go
+++ b/role/quarantine/store.go
@@ -105,8 +105,8 @@
 	return true
 }
 
-// Removed processes the removal of a key, and reports whether it was that of a quarantined request. A request
-// whose lease expired too early is written again.
+// Removed processes the removal of a key, and reports whether it was that of a quarantined request. A
+// request whose lease expired too early is written again.
 func (q *Quarantine) Removed(key string, now time.Time) bool {
 	f, ok := parseKey(key)
 	if !ok {
--- a/role/throttling/throttling.go
+++ b/role/throttling/throttling.go
@@ -67,8 +67,8 @@
 	t.applyChange(endpoint, i, before, after, now)
 }
 
-// AddToDigest adds to use what other gateways need to know of the endpoint's limit, and the demand of this gateway
-// plus that of the others in the given share.
+// AddToDigest adds to use what other gateways need to know of the endpoint's limit, and the demand of this
+// gateway plus that of the others in the given share.
 func (t *Throttling) AddToDigest(use *gossip.Use, i *intake.Intake, others peers.Usage, forHall bool, now time.Time) {
 	known := i.Load()
 	use.WantedMillis = uint32(max(others.Wanted+int64(known.Demand(now)*peers.WantedUnit), 0))
@@ -90,8 +90,8 @@
 	return 0
 }
 
-// UpdateShare recomputes this gateway's share of an endpoint's limit if it has demand there: the demand of the
-// others changes with each digest.
+// UpdateShare recomputes this gateway's share of an endpoint's limit if it has demand there: the demand of
+// the others changes with each digest.
 func (t *Throttling) UpdateShare(endpoint string, i *intake.Intake, now time.Time) {
 	if i.NeverAnnounced() {
 		return // most endpoints state no limit
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -90,7 +90,7 @@
 	return calls
 }
 
-// SetHosts replaces the list of hosts; the new list becomes visible after Lag.
+// SetHosts replaces the list of hosts; the new list becomes visible after HostsDelay.
 func (s *Store) SetHosts(list []hosts.Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -28,7 +28,7 @@
 	runs []Run
 }
 
-// ServeHTTP records a call and, after Took, answers with its number and body.
+// ServeHTTP records a call and, after CallDuration, answers with its number and body.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/standin/site/endpoint.go
+++ b/standin/site/endpoint.go
@@ -65,7 +65,7 @@
 	address string
 
 	mu sync.Mutex // guards what follows
-	// mode applies to requests for which Site.Next has set none.
+	// mode applies to requests for which Site.NextModes has set none.
 	mode Mode
 	ran  map[string]int
 	seen []*http.Request
@@ -95,7 +95,7 @@
 	return e.address
 }
 
-// SetMode sets the mode of all further requests for which Site.Next has set none.
+// SetMode sets the mode of all further requests for which Site.NextModes has set none.
 func (e *Endpoint) SetMode(mode Mode) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/site/model.go
+++ b/standin/site/model.go
@@ -88,7 +88,7 @@
 
 // wait waits until the next event is due and every stage of the chain is alive.
 // It returns false if the caller has closed the connection or the stream has
-// stalled for longer than StallTime.
+// stalled for longer than StallTimeout.
 func (e *Endpoint) wait(r *http.Request, id string) bool {
 	const poll = 5 * time.Millisecond
 	stalled := time.Duration(0)
--- a/standin/site/says.go
+++ b/standin/site/says.go
@@ -34,7 +34,7 @@
 	return e.signals
 }
 
-// LimitSentAt returns when the endpoint first sent the limit set by the latest Say; zero if it has not
+// LimitSentAt returns when the endpoint first sent the limit set by the latest SetSignals; zero if it has not
 // sent it.
 func (e *Endpoint) LimitSentAt() time.Time {
 	e.mu.Lock()
@@ -87,7 +87,7 @@
 )
 
 // MaxWithinBackoff returns the largest number of requests that arrived in one backoff period, not counting
-// those within RestHeard of its start. Each of times, in ascending order, begins a period of length rest.
+// those within RetryAfterGrace of its start. Each of times, in ascending order, begins a period of length rest.
 func MaxWithinBackoff(times []time.Time, rest time.Duration) int {
 	most := 0
 	for i, asked := range times {
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -16,10 +16,10 @@
 	StoreAddress string
 	// Layers is the number of layers of the model.
 	Layers int
-	// CrashSilently makes endpoints stop answering under requests marked by Doom, like a host that loses
+	// CrashSilently makes endpoints stop answering under requests marked by CrashOn, like a host that loses
 	// power, instead of refusing connections.
 	CrashSilently bool
-	// BeforeCrash, if set, is called before an endpoint ends under a request marked by Doom.
+	// BeforeCrash, if set, is called before an endpoint ends under a request marked by CrashOn.
 	BeforeCrash func(*Endpoint)
 
 	mu sync.Mutex // guards what follows
@@ -111,7 +111,8 @@
 	s.crashesMoved = map[string]bool{body: true}
 }
 
-// crashMovedIfMarked ends the endpoints that are in chain to but not in from, if DoomMoved has marked the body.
+// crashMovedIfMarked ends the endpoints that are in chain to but not in from, if CrashOnMove has marked the
+// body.
 func (s *Site) crashMovedIfMarked(body string, from, to []stage) {
 	kept := make(map[string]bool)
 	for _, p := range from {
@@ -132,14 +133,14 @@
 	}
 }
 
-// Crashed returns the endpoints that have ended under requests marked by Doom or DoomMoved.
+// Crashed returns the endpoints that have ended under requests marked by CrashOn or CrashOnMove.
 func (s *Site) Crashed() []*Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*Endpoint(nil), s.crashed...)
 }
 
-// crashIfMarked ends an endpoint that begins to run a request, if Doom has marked the body.
+// crashIfMarked ends an endpoint that begins to run a request, if CrashOn has marked the body.
 func (s *Site) crashIfMarked(e *Endpoint, body []byte) {
 	s.mu.Lock()
 	crashes := s.crashes[string(body)]
@@ -179,7 +180,7 @@
 	s.modes[service] = append(s.modes[service], modes...)
 }
 
-// nextMode removes and returns the mode of the next request of a service, if Next
+// nextMode removes and returns the mode of the next request of a service, if NextModes
 // has set one.
 func (s *Site) nextMode(service string) (Mode, bool) {
 	s.mu.Lock()
--- a/standin/site/store.go
+++ b/standin/site/store.go
@@ -143,7 +143,7 @@
 	return s.calls[path]
 }
 
-// ServeHTTP serves one call, with the fault set by Break.
+// ServeHTTP serves one call, with the fault set by SetFaults.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	if s.calls == nil {
--- a/state/claimlog/log.go
+++ b/state/claimlog/log.go
@@ -77,7 +77,7 @@
 
 // Claim returns nil once c is in the store. It returns a TakenError if another claim
 // holds the key, a FullError or a kv.UnavailableError if nothing was written, and a
-// headlog.InDoubtError if c may have been written. In that last case the caller must
+// headlog.UncertainError if c may have been written. In that last case the caller must
 // not use c; the next caller with the same key settles it with the agent.
 func (l *Log) Claim(c claim.Claim) error {
 	bucket := int(xxhash.Sum64String(c.Key) % buckets)
--- a/state/configlog/log.go
+++ b/state/configlog/log.go
@@ -52,7 +52,7 @@
 // is not nil, the object must be at that revision; 0 means that it must not exist.
 // Change returns a config.MatchError if the object is at another revision, a
 // config.InvalidError or a policy.CompileError if the change is not valid, a
-// headlog.InDoubtError if the change may have been written, and a
+// headlog.UncertainError if the change may have been written, and a
 // kv.UnavailableError if it was not sent.
 func (l *Log) Change(ctx context.Context, id string, c config.Change, match *uint64) (uint64, error) {
 	if err := validate(c); err != nil {
--- a/state/configreplica/config.go
+++ b/state/configreplica/config.go
@@ -1,5 +1,5 @@
-// Package configreplica holds the configuration in force in one process. Its revision never
-// decreases.
+// Package configreplica holds the configuration in force in one process. Its revision
+// never decreases.
 package configreplica
 
 import (
@@ -143,8 +143,8 @@
 	return state.With(record.Revision, change)
 }
 
-// UpdatesSince returns the changes after the given revision for a peer, or a snapshot if the
-// recent changes do not reach back that far.
+// UpdatesSince returns the changes after the given revision for a peer, or a snapshot if
+// the recent changes do not reach back that far.
 func (c *Config) UpdatesSince(revision uint64) (*wire.SyncReply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/state/headlog/log.go
+++ b/state/headlog/log.go
@@ -163,7 +163,7 @@
 
 // Append appends the records that decide returns and returns the resulting head. Decide
 // must give a proposal the same ID on every call. When ctx ends first, Append returns
-// an InDoubtError if the outcome of a sent write is uncertain, and a
+// an UncertainError if the outcome of a sent write is uncertain, and a
 // kv.UnavailableError if no write was sent.
 func (l *Log) Append(ctx context.Context, decide Decide) (Head, error) {
 	var sent pending
@@ -231,7 +231,7 @@
 	return outcomeUnknown
 }
 
-// uncertain returns err, wrapped in an InDoubtError if a write is pending.
+// uncertain returns err, wrapped in an UncertainError if a write is pending.
 func (p pending) uncertain(err error) error {
 	if p.id == "" {
 		return err
--- a/state/inflight/turnstile.go
+++ b/state/inflight/turnstile.go
@@ -4,7 +4,7 @@
 
 import "sync/atomic"
 
-// closedOffset is added to the count of a closed turnstile. It is so far below zero that
+// closedOffset is added to the count of a closed counter. It is so far below zero that
 // no number of requests raises the count above zero.
 const closedOffset = -1 << 40
 
@@ -14,7 +14,7 @@
 	n atomic.Int64
 }
 
-// Enter counts a request and reports true, or false if the turnstile is closed.
+// Enter counts a request and reports true, or false if the counter is closed.
 func (t *Counter) Enter() bool {
 	if t.n.Add(1) > 0 {
 		return true
@@ -37,8 +37,8 @@
 	return int(n)
 }
 
-// Close closes the turnstile if no request is in flight, or regardless of requests in flight
-// if force is set. It reports whether the turnstile is closed.
+// Close closes the counter if no request is in flight, or regardless of requests in flight
+// if force is set. It reports whether the counter is closed.
 func (t *Counter) Close(force bool) bool {
 	if t.n.CompareAndSwap(0, closedOffset) {
 		return true
--- a/state/intake/intake.go
+++ b/state/intake/intake.go
@@ -28,8 +28,8 @@
 	return throttle.Throttle{}
 }
 
-// ApplyAnnouncement applies the announcement in an answer of the endpoint, and returns the throttle before and
-// after.
+// ApplyAnnouncement applies the announcement in an answer of the endpoint, and returns the
+// throttle before and after.
 func (i *Intake) ApplyAnnouncement(w throttle.Report) (before, after throttle.Throttle) {
 	empty := throttle.Report{Sent: w.Sent, Received: w.Received}
 	if i.current.Load() == nil && w == empty {
@@ -55,7 +55,8 @@
 	}
 }
 
-// ApplyReport applies a limit reported by another gateway, and returns the throttle before and after.
+// ApplyReport applies a limit reported by another gateway, and returns the throttle before and
+// after.
 func (i *Intake) ApplyReport(l throttle.Limit, now time.Time) (before, after throttle.Throttle) {
 	if i.current.Load() == nil && !l.Named() {
 		return before, after
@@ -69,7 +70,8 @@
 	i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithShare(share, now) })
 }
 
-// CountDemand counts a request that would begin at the endpoint, if the endpoint announces a limit.
+// CountDemand counts a request that would begin at the endpoint, if the endpoint announces a
+// limit.
 func (i *Intake) CountDemand(now time.Time) {
 	if i.Load().Named() {
 		i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithDemand(now) })
@@ -93,7 +95,7 @@
 	}
 }
 
-// Held returns why no request may pass at now, Free if one may.
+// Held returns why no request may pass at now, NotHeld if one may.
 func (i *Intake) Held(now time.Time) throttle.HoldReason {
 	if t := i.current.Load(); t != nil {
 		return t.Held(now)
--- a/state/linklimit/lines.go
+++ b/state/linklimit/lines.go
@@ -20,7 +20,8 @@
 	burstTime = 4 * time.Second
 )
 
-// LinkLimiter bounds the traffic of this gateway across halls. The zero LinkLimiter is ready to use.
+// LinkLimiter bounds the traffic of this gateway across halls. The zero LinkLimiter is ready to
+// use.
 type LinkLimiter struct {
 	limiter rate.Limiter
 }
--- a/state/mirror/mirror.go
+++ b/state/mirror/mirror.go
@@ -28,27 +28,28 @@
 	Feed kv.Feed
 	// Prefix selects the keys, empty for all.
 	Prefix string
-	// WatchTimeout is how long one request for changes waits. It bounds the age of the last freshness
-	// proof while nothing changes.
+	// WatchTimeout is how long one request for changes waits. It bounds the age of the last
+	// freshness proof while nothing changes.
 	WatchTimeout time.Duration
 	// MinInterval is the least time between the starts of two requests, so that changes in quick
-	// succession arrive together. It does not apply to pages with Paced set.
+	// succession arrive together. It does not apply to pages with RateLimited set.
 	MinInterval time.Duration
 	// Refresh ends a pause between two requests when it delivers a value, nil for never.
 	Refresh <-chan struct{}
 	// Grace is how long after an outage of the store a removed key is retained: leases expire
 	// while nobody can renew them, and their owners return.
 	Grace time.Duration
-	// Put receives each pair that was written, and Gone each key that was removed with the revision
-	// of its removal.
+	// Put receives each pair that was written, and Removed each key that was removed with the
+	// revision of its removal.
 	Put     func(kv.Pair)
 	Removed func(key string, revision uint64)
 	// Confirm receives, after the changes of each answer, a time up to which the copy contains all
 	// writes: when the request was sent, or, if another process answered in place of the store, the
 	// time of that process's proof.
 	Confirm func(proven time.Time)
-	// ConfirmPartial receives such a time after each page but the last of the first full read, while the
-	// pages prove it: the keys read so far include all writes before it. Nil for no calls.
+	// ConfirmPartial receives such a time after each page but the last of the first full read,
+	// while the pages prove it: the keys read so far include all writes before it. Nil for no
+	// calls.
 	ConfirmPartial func(proven time.Time)
 	// Unhurried reports, after a stale first page of the first full read, whether no caller waits
 	// for a proof. If so, full reads use stale pages only, until a proof is found. Nil for never.
--- a/state/outages/outages.go
+++ b/state/outages/outages.go
@@ -61,8 +61,8 @@
 	return o.own
 }
 
-// HandleReport records the number of another gateway's outage, 0 for none, and reports whether it is new.
-// now is read from the clock of freshness proofs.
+// HandleReport records the number of another gateway's outage, 0 for none, and reports whether it
+// is new. now is read from the clock of freshness proofs.
 func (o *Outages) HandleReport(gateway string, number uint64, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/state/peers/share.go
+++ b/state/peers/share.go
@@ -1,6 +1,6 @@
 package peers
 
-// WantedUnit is one request per second in the unit of Share.Wanted.
+// WantedUnit is one request per second in the unit of Usage.Wanted.
 const WantedUnit = 1000
 
 // Usage is the use of an endpoint by one or several gateways.
--- a/state/peers/table.go
+++ b/state/peers/table.go
@@ -1,8 +1,8 @@
 // Package peers keeps the state that a gateway knows of its peers: the gateways that the store
 // names, and the use of endpoints that they last reported.
 //
-// Pass the store's records to Announce and Withdraw, received reports to Hear, and call Expire and
-// Miss regularly.
+// Pass the store's records to Announce and Withdraw, received reports to AddReport, and call
+// Expire and MarkAbsent regularly.
 package peers
 
 import (
@@ -109,9 +109,9 @@
 	delete(t.announced, key)
 }
 
-// AddReport applies a report and reports whether it is in force. It is not if a newer one has arrived,
-// if it is for the whole hall of self, or if it is for a gateway of another hall and a report for
-// that hall is in force. A report for a hall replaces those of its gateways.
+// AddReport applies a report and reports whether it is in force. It is not if a newer one has
+// arrived, if it is for the whole hall of self, or if it is for a gateway of another hall and a
+// report for that hall is in force. A report for a hall replaces those of its gateways.
 func (t *Table) AddReport(r Report, self overlay.Member, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -172,9 +172,9 @@
 	}
 }
 
-// MarkAbsent marks as absent the gateways that the store names but that have been silent for longer than
-// after. Members omits them until they report again. They may be cut off rather than ended, so
-// Size and AllHeard still count them.
+// MarkAbsent marks as absent the gateways that the store names but that have been silent for
+// longer than after. Members omits them until they report again. They may be cut off rather than
+// ended, so Size and AllCovered still count them.
 func (t *Table) MarkAbsent(now time.Time, after time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -188,8 +188,8 @@
 	}
 }
 
-// Silent returns the gateways, by the store's key, that the last call of Miss marked as absent and
-// that have been silent for longer than after.
+// Silent returns the gateways, by the store's key, that the last call of MarkAbsent marked as
+// absent and that have been silent for longer than after.
 func (t *Table) Silent(now time.Time, after time.Duration) map[string]overlay.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/state/peers/table_test.go
+++ b/state/peers/table_test.go
@@ -88,8 +88,8 @@
 	require.EqualValues(t, 5, shares["card"].Active)
 }
 
-// AllHeard is true once each gateway that the store names has reported, or a report for its hall
-// covers enough gateways.
+// AllCovered is true once each gateway that the store names has reported, or a report for its
+// hall covers enough gateways.
 func TestAllHeard(t *testing.T) {
 	table, _ := table()
 	now := time.Now()
@@ -109,7 +109,7 @@
 }
 
 // A gateway that the store names but that has been silent for long is not a member, and still
-// counts in Size and AllHeard because it may be cut off.
+// counts in Size and AllCovered because it may be cut off.
 func TestSilentGatewaysAreAbsent(t *testing.T) {
 	table, _ := table()
 	now := time.Now()
--- a/state/reporters/witnesses.go
+++ b/state/reporters/witnesses.go
@@ -15,7 +15,8 @@
 	reports map[string]time.Time
 }
 
-// Report records a report by a named reporter, and returns the number of recent reporters.
+// Report records a report by a named reporter, and returns the number of recent
+// reporters.
 func (w *Reporters) Report(name string, now time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/state/roster/departures.go
+++ b/state/roster/departures.go
@@ -34,7 +34,7 @@
 	Age time.Duration
 }
 
-// DepartureOf returns the departure of an endpoint, the zero DepartureOf if there is none.
+// DepartureOf returns the departure of an endpoint, the zero Departure if there is none.
 func (r *Roster) DepartureOf(id string) departure.Departure {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,8 +47,8 @@
 	return record.Leaving || r.departures[record.ID].Covers(record.Endpoint, record.Revision)
 }
 
-// ApplyReport records a departure reported by another process. It returns the endpoint's record and
-// whether the departure overrules it, so that the endpoint now counts as having left.
+// ApplyReport records a departure reported by another process. It returns the endpoint's record
+// and whether the departure overrules it, so that the endpoint now counts as having left.
 func (r *Roster) ApplyReport(n DepartureReport, now time.Time) (Record, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/state/roster/roster.go
+++ b/state/roster/roster.go
@@ -2,7 +2,7 @@
 // of them have left.
 //
 // Pass record changes from the store to Put, Remove and Drop, and departures reported by other
-// processes to Adopt. Records then returns the endpoints.
+// processes to ApplyReport. Records then returns the endpoints.
 package roster
 
 import (
--- a/state/streams/times.go
+++ b/state/streams/times.go
@@ -8,8 +8,8 @@
 	"github.com/grademill/grademill/state/byname"
 )
 
-// firstMargin is the factor by which First exceeds the average time to a first event: four in five
-// first events arrive sooner than First.
+// firstMargin is the factor by which ExpectedFirst exceeds the average time to a first event: four
+// in five first events arrive sooner than ExpectedFirst.
 const firstMargin = 2
 
 // Times estimates the time to the first event and the duration of the streams of each service. The
--- a/state/suspects/suspects.go
+++ b/state/suspects/suspects.go
@@ -1,8 +1,9 @@
 // Package suspects records the requests during which endpoints have ended, and quarantines
 // requests.
 //
-// Note and Hear record ends, by this gateway and as reported by others. Bar quarantines a request:
-// it is not sent to endpoints until a given time. Clear removes a request that has completed.
+// Note and AddReport record ends, by this gateway and as reported by others. SetQuarantine
+// quarantines a request: it is not sent to endpoints until a given time. Clear removes a request
+// that has completed.
 package suspects
 
 import (
@@ -142,8 +143,8 @@
 	return slices.Clone(r.ends)
 }
 
-// AddReport records a report of another gateway: the number of ends during a request, valid until a
-// given time, and whether one of them is recent.
+// AddReport records a report of another gateway: the number of ends during a request, valid until
+// a given time, and whether one of them is recent.
 func (s *Suspects) AddReport(f fingerprint.Fingerprint, ends int, recent bool, now, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,7 +180,8 @@
 	return 0
 }
 
-// SetQuarantine quarantines a request until a given time, and reports whether this started a new quarantine.
+// SetQuarantine quarantines a request until a given time, and reports whether this started a new
+// quarantine.
 func (s *Suspects) SetQuarantine(f fingerprint.Fingerprint, now, until time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/state/watchcache/cache.go
+++ b/state/watchcache/cache.go
@@ -47,7 +47,7 @@
 	Wait time.Duration
 }
 
-// Answer is the response to a Question.
+// Answer is the response to a Request.
 type Answer struct {
 	// Pairs are the changes after the revision, in order, and changes that a watch missed: see
 	// Feed.
@@ -120,8 +120,8 @@
 	c.notify()
 }
 
-// ResetUnproven replaces the content after a full read that yields no freshness proof. at is the revision
-// of its oldest page.
+// ResetUnproven replaces the content after a full read that yields no freshness proof. at is the
+// revision of its oldest page.
 func (c *Cache) ResetUnproven(at uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -217,7 +217,8 @@
 }
 
 // Fetch answers a request of another gateway, at once if there are changes or a sufficiently newer
-// proof, and otherwise as soon as there are. It returns ErrNoNews if there are none within q.Wait.
+// proof, and otherwise as soon as there are. It returns ErrNoNewerProof if there are none within
+// q.Wait.
 func (c *Cache) Fetch(ctx context.Context, q Request) (Answer, error) {
 	start := c.now()
 	timer := time.NewTimer(q.Wait)
--- a/state/watchcache/feed.go
+++ b/state/watchcache/feed.go
@@ -68,8 +68,8 @@
 	// queries the store itself. If standby is set, it also queries the store when none of them has
 	// an answer.
 	Sources func() (addresses []string, standby bool)
-	// Age returns the age of this gateway's freshness proof. TimeUntilLate returns the time until the
-	// proof is overdue, which bounds the wait for another gateway's answer.
+	// Age returns the age of this gateway's freshness proof. TimeUntilLate returns the time until
+	// the proof is overdue, which bounds the wait for another gateway's answer.
 	Age, TimeUntilLate func() time.Duration
 	// Cache holds what other gateways may request from this one.
 	Cache *Cache
--- a/test/histories/once_test.go
+++ b/test/histories/once_test.go
@@ -90,7 +90,7 @@
 
 func (lostCall) Error() string { return "no answer" }
 
-// Enter implements runonce.Seats.
+// Enter implements runonce.Reservations.
 func (s *cluster) Enter(context.Context, map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
 	return s.agent().endpoint(), func() {}, nil
 }
--- a/test/soak/words_test.go
+++ b/test/soak/words_test.go
@@ -133,7 +133,8 @@
 	w.t.Logf("%s asked for at most %.2f requests per second and got %d, at most %d of them within one period", s.endpoint.ID, s.signals.Limit, len(counted), most)
 }
 
-// checkBackoff checks that each gateway sent at most site.RestSlack requests within a backoff period that the endpoint asked it for.
+// checkBackoff checks that each gateway sent at most site.RetryAfterSlack requests within a backoff period that the endpoint asked
+// it for.
 func (w *world) checkBackoff(s overloadReport, byID map[string]exchange) {
 	arrived := make(map[process][]time.Time)
 	for _, a := range arrivals(s.endpoint, s.from, s.until, byID) {
