--- a/role/quarantine/quarantine.go
+++ b/role/quarantine/quarantine.go
@@ -1,7 +1,8 @@
-// Package quarantine blocks requests that make endpoints crash. A caller may retry such a request with
-// another ID and at any gateway, so each gateway reports the requests under which an endpoint has ended
-// to a few keepers that count for all. The verdict spreads with digests, and to the store, where it
-// outlives the gateways.
+// Package quarantine blocks requests that make endpoints crash. An endpoint has ended under a request
+// if it ended shortly after it began to run the request. A caller may retry such a request with another
+// ID and at any gateway, so the gateways report these ends to a few of them, the keepers of the request,
+// which count the ends for the whole fleet. The verdict spreads with digests, and through the store,
+// where it outlives the gateways.
 package quarantine
 
 import (
@@ -22,16 +23,16 @@
 // Thresholds, times and limits of the quarantine.
 const (
 	// minEnds is the number of endpoints that must have ended under a request before it is
-	// quarantined, if it was isolated in at least one of these ends. Unrelated crashes hit the same
-	// request twice where many endpoints end in a row, but seldom three times within a second of its
-	// start.
+	// quarantined, if it was isolated in at least one of these ends. When many endpoints crash for
+	// another reason, two of them may have run the same request, but seldom three within a second of
+	// its start.
 	minEnds = 3
 	// minEndsUnisolated is the number of ends required if the request was isolated in none of them.
-	// Requests that arrive at many gateways together with a crashing one may count one more end each
-	// until the fleet knows of their second.
+	// Harmless requests that arrive at many gateways together with a crashing one may each count one
+	// more end until all gateways know of their second.
 	minEndsUnisolated = 6
 	// reportFrom is the number of ends from which a request is reported to all gateways, so that any
-	// that sees it complete can report that.
+	// gateway at which it completes can report the completion.
 	reportFrom = 2
 	// isolateFrom is the number of ends from which a request is isolated from other suspects.
 	isolateFrom = reportFrom
@@ -80,7 +81,7 @@
 	known  suspects.Suspects
 	writes chan fingerprint.Fingerprint
 
-	mu sync.Mutex // guards what follows
+	mu sync.Mutex // guards the fields below
 	// resends are the datagrams to be sent once more, since a datagram may be lost.
 	resends []message
 	// unconfirmed are the requests with enough ends of which some are not confirmed, with the time
@@ -269,7 +270,7 @@
 	q.Count(eventBegun)
 	q.Log.Warn().Stringer("print", f).Strs("ended", formatEnds(confirmed)).Dur("lasts_ms", quarantineTime).Msg("request is quarantined")
 	q.News()
-	q.write(f)
+	q.queueWrite(f)
 }
 
 // formatEnds returns ends as written to the log, with those marked in which the request was isolated.
--- a/role/quarantine/quarantine_test.go
+++ b/role/quarantine/quarantine_test.go
@@ -29,7 +29,7 @@
 	scheduleTime = 25 * time.Second
 	// propagationTime is how long after the third end all gateways must know of it.
 	propagationTime = 3 * time.Second
-	// maxSends is how often a gateway sends one arriving request at most.
+	// maxSends is the maximum number of times that a gateway sends one arriving request.
 	maxSends = 4
 	// poison is a request that ends each endpoint that begins to run it.
 	poison fingerprint.Fingerprint = 7
@@ -38,7 +38,7 @@
 // errUnavailable is the error of a store that does not answer.
 var errUnavailable = &kv.UnavailableError{Err: fmt.Errorf("away")}
 
-// fleet is a fleet of gateways and what they share.
+// fleet is a fleet of gateways with the endpoints and the store that they share.
 type fleet struct {
 	rng *rand.Rand
 	// group holds all goroutines.
@@ -46,7 +46,7 @@
 	// loss is the fraction of datagrams that are lost.
 	loss float64
 
-	mu    sync.Mutex // guards what follows
+	mu    sync.Mutex // guards the fields below
 	nodes []*node
 	// ended are the incarnations that have ended.
 	ended map[suspects.Life]time.Time
@@ -217,11 +217,11 @@
 	return f
 }
 
-// send has a request arrive at a gateway, which sends it up to most times as long as it may; each time an
-// endpoint ends. It returns the number of endpoints that have ended.
-func (f *fleet) send(index, most int, request fingerprint.Fingerprint) (sends int) {
+// send has a request arrive at a gateway, which sends it up to limit times unless it is quarantined. An
+// endpoint ends under each of these sends. It returns the number of endpoints that have ended.
+func (f *fleet) send(index, limit int, request fingerprint.Fingerprint) (sends int) {
 	n := f.nodes[index]
-	for ; sends < most && n.Left(request, time.Now()) == 0; sends++ {
+	for ; sends < limit && n.Left(request, time.Now()) == 0; sends++ {
 		isolated := n.Suspected(request, time.Now())
 		f.mu.Lock()
 		incarnation := suspects.Life{Endpoint: fmt.Sprint("endpoint-", len(f.ended)%33), Born: int64(len(f.ended) / 33)}
@@ -235,13 +235,13 @@
 
 // runSchedule has a request arrive at gateways for a while, as gateways end and start again. It returns how
 // many endpoints the request has reached later than propagationTime after the third end.
-func runSchedule(t *testing.T, size int, seed uint64, loss float64, away bool) (late int) {
+func runSchedule(t *testing.T, size int, seed uint64, loss float64, storeDown bool) (late int) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		f := newFleet(ctx, size, seed, loss)
 		defer f.group.Wait()
 		defer cancel()
-		f.setStoreDown(away)
+		f.setStoreDown(storeDown)
 		var third time.Time
 		for begun := time.Now(); time.Since(begun) < scheduleTime; {
 			time.Sleep(time.Duration(50+f.intN(1500)) * time.Millisecond)
@@ -262,12 +262,12 @@
 	return late
 }
 
-// restart starts gateways again if they may: all at once while the store knows of the request, and one
-// of several otherwise.
-func (f *fleet) restart(ctx context.Context, may bool) {
+// restart starts gateways again if allowed is set: all at once while the store answers, since it holds the
+// request, and otherwise one of several.
+func (f *fleet) restart(ctx context.Context, allowed bool) {
 	size := len(f.nodes)
 	switch {
-	case !may:
+	case !allowed:
 	case !f.storeDown:
 		for i := range size {
 			f.start(ctx, i)
@@ -289,8 +289,8 @@
 	}
 }
 
-// Without any reports and without the store, a request ends more endpoints: the schedules of the previous
-// test can tell the difference.
+// Without any reports and without the store, a request ends more endpoints. This shows that the schedules of
+// TestRequestIsBlockedAfterThreeEnds detect a missing quarantine.
 func TestRequestSpreadsWithoutReports(t *testing.T) {
 	t.Parallel()
 	require.Greater(t, runSchedule(t, 5, 1, 1, true), 3)
--- a/role/quarantine/store.go
+++ b/role/quarantine/store.go
@@ -39,12 +39,13 @@
 	Revoke(ctx context.Context, lease string) error
 }
 
-// write queues a request for the store. If the queue is full, the request spreads with digests only.
-func (q *Quarantine) write(f fingerprint.Fingerprint) {
+// queueWrite queues a request to be written to the store. If the queue is full, the request spreads with
+// digests only.
+func (q *Quarantine) queueWrite(f fingerprint.Fingerprint) {
 	select {
 	case q.writes <- f:
 	default:
-		q.Log.Warn().Stringer("print", f).Msg("too many quarantined requests wait to be written to the store, request is not written")
+		q.Log.Warn().Stringer("print", f).Msg("write queue is full, quarantined request is not written to the store and spreads with digests only")
 	}
 }
 
@@ -93,7 +94,7 @@
 	}
 	var text wire.Quarantine
 	if err := proto.Unmarshal(p.Value, &text); err != nil {
-		q.Log.Warn().Err(err).Str("key", p.Key).Msg("cannot decode a quarantined request of the store")
+		q.Log.Warn().Err(err).Str("key", p.Key).Msg("cannot decode a quarantined request from the store")
 		return true
 	}
 	q.mu.Lock()
@@ -116,7 +117,7 @@
 	delete(q.stored, f)
 	q.mu.Unlock()
 	if q.known.Barred(f, now) > minRemaining {
-		q.write(f)
+		q.queueWrite(f)
 	}
 	return true
 }
