--- a/role/admission/line.go
+++ b/role/admission/line.go
@@ -39,7 +39,7 @@
 	// have retried by then.
 	noRefusalPeriod = 8 * time.Second
 	// lateWaitObjectives is the time to the first event, in multiples of the objective, that bounds
-	// the wait of a request that is late already: its caller hangs up after four.
+	// the wait of a request that is late already: its caller hangs up after four times the objective.
 	lateWaitObjectives = 3
 )
 
@@ -60,7 +60,8 @@
 	wake chan struct{}
 	// firstTimeouts holds, per service, the timeouts that callers usually set on a first attempt.
 	firstTimeouts byname.Map[patience.Learned]
-	refusedAt     atomic.Int64
+	// refusedAt is when a request was last refused, in nanoseconds of Unix time.
+	refusedAt atomic.Int64
 	// retryRates holds the rate of retried requests per service.
 	retryRates byname.Map[rate.Meter]
 
@@ -111,7 +112,8 @@
 
 // Turn returns the urgency and the time limit of a request that enters the queue at now. A new
 // request waits only while its first event can still meet the objective, since its caller can
-// retry. Any other request waits for as long as a caller bears to wait for the first event.
+// retry. Any other request may wait until its first event would come lateWaitObjectives times the
+// objective from now.
 func (l *Line[G]) Turn(r Request, now time.Time) Turn {
 	firstEvent := l.Times.First(r.Service)
 	if urgent := l.urgency(r, now); urgent != urgency.New {
