--- a/role/gossip/gossip.go
+++ b/role/gossip/gossip.go
@@ -38,7 +38,8 @@
 	// of an endpoint makes several within milliseconds, which go into one digest.
 	minUpdateInterval = 40 * time.Millisecond
 	// settleRounds is the number of digests for which a gateway that has just started does not act
-	// as the delegate of its hall: where all gateways of a hall start at once, each would.
+	// as the delegate of its hall: when all gateways of a hall start at once, each would otherwise act
+	// as the delegate, since it has not heard the others yet.
 	settleRounds = 2
 	// missedDigests is the number of digests that a gateway may miss before it is considered ended
 	// and its usage is dropped.
@@ -99,6 +100,7 @@
 	// socket is nil until Run has opened it.
 	socket atomic.Pointer[net.PacketConn]
 	budget *rate.Limiter
+	// number is the number of the last digest.
 	number uint64
 	// started is when Run was called.
 	started time.Time
@@ -211,7 +213,8 @@
 	return d
 }
 
-// wait waits for the next round, or for updates to be sent early.
+// wait waits until the next round is due. After a call of News it waits for at most
+// minUpdateInterval more.
 func (s *Gossip) wait(ctx context.Context, every time.Duration) {
 	begun := time.Now()
 	due := time.NewTimer(every)
