--- a/role/throttling/throttling.go
+++ b/role/throttling/throttling.go
@@ -19,7 +19,7 @@
 	// minLoggedChange is the smallest relative change of a limit that is logged: some endpoints send a
 	// slightly different limit with each answer.
 	minLoggedChange = 0.1
-	// limitUnit is a limit of one request per second in the unit of digests.
+	// limitUnit converts requests per second to the unit of digests, thousandths of a request per second.
 	limitUnit = 1000
 	// maxReportedLimit is the largest limit in a digest, in requests per second. No endpoint reaches it.
 	maxReportedLimit = 1e6
@@ -67,8 +67,8 @@
 	t.applyChange(endpoint, i, before, after, now)
 }
 
-// Tell adds to use what other gateways need to know of the endpoint's limit, and the demand of this gateway
-// plus that of the others in the given share.
+// Tell adds to use what other gateways need to know of the endpoint's limit, and the sum of this gateway's
+// demand and the demand in others.
 func (t *Throttling) Tell(use *gossip.Use, i *intake.Intake, others peers.Share, forHall bool, now time.Time) {
 	known := i.Load()
 	use.WantedMillis = uint32(max(others.Wanted+int64(known.Demand(now)*peers.WantedUnit), 0))
