--- a/role/entry/entry.go
+++ b/role/entry/entry.go
@@ -69,7 +69,7 @@
 	ListEvery time.Duration
 	// Watchers is the number of entries per hall that watch the platform for changes.
 	Watchers int
-	// Retries bounds retries. Its unexported state belongs to the entry.
+	// Retries bounds retries. The entry guards it with its own lock.
 	Retries retry.Budget
 	// ClaimKeep is how long a claim, and with it an idempotency key, is remembered.
 	ClaimKeep time.Duration
@@ -129,7 +129,7 @@
 	claimTimeout    = 2 * time.Second
 )
 
-// peerTTL is how long an entry stays known that only peers have reported.
+// peerTTL is how long this entry remembers another one that only peers have reported.
 const peerTTL = 30 * time.Second
 
 // Prepare initializes the entry. It must be called before Run and before callers are served.
--- a/role/entry/flight.go
+++ b/role/entry/flight.go
@@ -122,11 +122,11 @@
 	f.entry.flightsMu.Lock()
 	delete(f.entry.flights, f.id)
 	f.entry.flightsMu.Unlock()
-	f.leave()
+	f.cancelAttempt()
 }
 
-// leave cancels the current attempt at its stages and releases the reservation.
-func (f *flight) leave() {
+// cancelAttempt cancels the current attempt at its stages and releases the reservation.
+func (f *flight) cancelAttempt() {
 	if f.reservation == nil {
 		return
 	}
@@ -299,9 +299,9 @@
 	return f.retry(ctx, "connection to the first stage broke")
 }
 
-// A request that crashes the stages that run it would crash every stage there is if it were retried
-// without a bound: such a request was retried along another chain 5 times out of 5. Three early
-// losses may still be a coincidence.
+// Bounds of the retries of a request that crashes the stages that run it. Without them it would crash
+// every stage of the fleet: such a request was retried along another chain 5 times out of 5. Three
+// early losses may still be a coincidence.
 const (
 	// earlyLossPeriod is the time after the start of an attempt in which the loss of a stage may be
 	// caused by the request.
@@ -326,7 +326,7 @@
 		return report
 	}
 	f.entry.Meter.Rebuilt(why)
-	f.leave()
+	f.cancelAttempt()
 	f.assembly = f.assembly.WithAttempt()
 	recoverTimeout := time.After(f.entry.RecoverWait)
 	for {
--- a/role/entry/flight_test.go
+++ b/role/entry/flight_test.go
@@ -38,15 +38,15 @@
 	return l
 }
 
-// requestTokens requests n tokens, and calls at after the second one.
-func requestTokens(l *lab.Lab, n int, at func()) ([]uint32, error) {
+// requestTokens requests n tokens, and calls afterSecond after the second one.
+func requestTokens(l *lab.Lab, n int, afterSecond func()) ([]uint32, error) {
 	var tokens []uint32
 	_, err := l.Entry(0).Complete(context.Background(), router.Completion{
 		Team: "t", Service: "m", Prompt: toy.Tokens("hello"), MaxTokens: n,
 	}, func(token uint32) error {
 		tokens = append(tokens, token)
-		if len(tokens) == 2 && at != nil {
-			at()
+		if len(tokens) == 2 && afterSecond != nil {
+			afterSecond()
 		}
 		return nil
 	})
