--- a/role/agent/agent.go
+++ b/role/agent/agent.go
@@ -50,8 +50,8 @@
 	Subset int
 	// Heartbeat is the interval between heartbeats.
 	Heartbeat time.Duration
-	// MaxSessions is the maximum number of requests that the agent asks for. It admits up to twice
-	// as many, since entries do not know at once of the requests that other entries have sent.
+	// MaxSessions is the largest limit of requests in flight that the agent reports to entries. It
+	// admits up to twice as many, since entries learn late of the requests that others have sent.
 	MaxSessions int
 	// WaitFactor is the target for the time of a step including its wait in the queue, in multiples
 	// of the time of a step; zero means DefaultWaitFactor. A larger factor gives more throughput, a
@@ -177,7 +177,8 @@
 }
 
 // noticeHeartbeats is the number of heartbeats for which a leaving agent still accepts new work:
-// the first one notifies the entries, and work that they sent before arrives in that time.
+// the first one notifies the entries, and work that they sent before that arrives during the
+// others.
 const noticeHeartbeats = 3
 
 // drain notifies the entries, accepts what they sent before the notice reached them, then refuses
--- a/role/agent/orders.go
+++ b/role/agent/orders.go
@@ -41,7 +41,7 @@
 	}
 	a.mu.Unlock()
 	if err != nil || statusErr != nil {
-		a.Log.Error().AnErr("load", err).AnErr("status", statusErr).Msg("order failed")
+		a.Log.Error().AnErr("load", err).AnErr("status", statusErr).Msg("engine failed to load the ordered layers or to report its status")
 	}
 	a.report()
 }
--- a/role/agent/steps.go
+++ b/role/agent/steps.go
@@ -23,7 +23,7 @@
 	lastProgress time.Time
 }
 
-// tombstone is the end of an attempt, to be forgotten after tombstoneTTL.
+// tombstone records that an attempt has ended. It is removed after tombstoneTTL.
 type tombstone struct {
 	request string
 	attempt uint32
