--- a/role/settings/file.go
+++ b/role/settings/file.go
@@ -30,10 +30,10 @@
 	return nil
 }
 
-// Or returns d, or the default otherwise if d is zero.
-func (d Duration) Or(otherwise time.Duration) time.Duration {
+// Or returns d, or fallback if d is zero.
+func (d Duration) Or(fallback time.Duration) time.Duration {
 	if d == 0 {
-		return otherwise
+		return fallback
 	}
 	return time.Duration(d)
 }
@@ -123,7 +123,7 @@
 	Subset int `toml:"subset" validate:"min=0,max=1000"`
 	// Heartbeat is the interval between heartbeats.
 	Heartbeat Duration `toml:"heartbeat" validate:"min=0"`
-	// MaxSessions is the maximum number of requests that the agent asks for.
+	// MaxSessions is the largest limit of requests in flight that the agent reports to entries.
 	MaxSessions int `toml:"max_sessions" validate:"min=0,max=100000"`
 	// WaitFactor is the target for the time of a step including its wait in the queue, in multiples
 	// of the time of a step. A larger factor gives more throughput, a smaller one lower latency and
