--- a/role/entry/flight_test.go
+++ b/role/entry/flight_test.go
@@ -82,8 +82,8 @@
 	require.Positive(t, report.RetryAfter)
 }
 
-// Without a retry budget, a request that lost a stage is given up at once, although another chain
-// is available.
+// Without a retry budget, a request that lost a stage is given up at once, without waiting for another
+// chain.
 func TestRetryBudgetBoundsRetries(t *testing.T) {
 	l := startLab(t, 2, func(e *entry.Entry) { e.Retries.Reserve, e.Retries.Share = 0, 0 })
 	_, err := requestTokens(l, 500, func() {
