--- a/role/gate/gate.go
+++ b/role/gate/gate.go
@@ -23,9 +23,9 @@
 const (
 	// Granted means that room was taken.
 	Granted Answer = iota
-	// Full means that there is no room now.
+	// Full means that there is no room now, so the request stays queued.
 	Full
-	// Never means that waiting cannot help.
+	// Never means that waiting cannot help, so the request is refused.
 	Never
 )
 
