--- a/role/partition/detector.go
+++ b/role/partition/detector.go
@@ -24,7 +24,7 @@
 	// takes a few milliseconds.
 	minRetryAfter = 30 * time.Millisecond
 	// refreshTimeout is how long the store may take to answer the additional query that follows a late
-	// proof before an outage is reported to the others: a slow store takes some 300 ms.
+	// proof before an outage is reported to the others: a slow store takes some 300 ms to answer.
 	refreshTimeout = 300 * time.Millisecond
 	// minRefreshInterval is the minimum time between two additional queries because a proof is late or other
 	// gateways have lost the store. When many gateways lose it, or all start together, each would otherwise
@@ -79,7 +79,8 @@
 	return d.aloneSince.Load() != 0
 }
 
-// Asked reports whether other gateways wait to hear whether this one has the store.
+// Asked reports whether other gateways have reported an outage and wait for an answer whether this one has
+// the store.
 func (d *Detector) Asked() bool {
 	return d.outages.Any(d.Clock())
 }
@@ -174,7 +175,8 @@
 		Msg("this gateway has lost the store, and asks the others whether they have it")
 }
 
-// holder returns the freshness proof of a gateway that has the store though this one has lost it.
+// holder returns the freshness proof of a gateway that has the store though this one has lost it, and false
+// if there is none.
 func (d *Detector) holder(now time.Time) (peers.Proof, bool) {
 	own := d.outages.Own()
 	if own == 0 {
--- a/role/partition/detector_test.go
+++ b/role/partition/detector_test.go
@@ -79,11 +79,11 @@
 	begun := time.Now()
 	var loaded, failing atomic.Bool
 	loaded.Store(true)
-	asked := 0
+	queries := 0
 	d := &partition.Detector{
 		Policy: freshness.Policy{Revocation: 5 * time.Second}, Peers: &peers.Table{},
 		Age: func() time.Duration { return 2 * lateAge }, Loaded: &loaded, Failing: &failing,
-		Refresh: func() { asked++ }, Clock: time.Now, Log: zerolog.Nop(),
+		Refresh: func() { queries++ }, Clock: time.Now, Log: zerolog.Nop(),
 	}
 	d.Init()
 	reportedOutage := func(at time.Duration) uint64 {
@@ -93,8 +93,8 @@
 		return own.GetOutage()
 	}
 	require.Zero(t, reportedOutage(0))
-	require.Equal(t, 1, asked)
+	require.Equal(t, 1, queries)
 	require.Zero(t, reportedOutage(200*time.Millisecond))
 	require.NotZero(t, reportedOutage(300*time.Millisecond))
-	require.Equal(t, 1, asked)
+	require.Equal(t, 1, queries)
 }
