--- a/role/admission/line_test.go
+++ b/role/admission/line_test.go
@@ -53,8 +53,8 @@
 	return struct{}{}, gate.Granted
 }
 
-// leave releases a slot.
-func (p *simulation) leave() {
+// release releases a slot.
+func (p *simulation) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.free++
@@ -91,7 +91,7 @@
 	p.mu.Unlock()
 	time.Sleep(streamTime - firstEventTime)
 	p.line.Times.NoteWhole("assistant", time.Since(sent))
-	p.leave()
+	p.release()
 	return true, 0
 }
 
