--- a/role/agent/agent_test.go
+++ b/role/agent/agent_test.go
@@ -99,7 +99,7 @@
 // start runs an agent together with an owner.
 func start(t *testing.T, a *agent.Agent) *owner {
 	o := &owner{t: t, links: &link.Set{Name: "owner", Log: zerolog.Nop()}, agent: a}
-	o.server = &listen.Server{Address: address(), Batch: o.take, Log: zerolog.Nop()}
+	o.server = &listen.Server{Address: address(), Batch: o.handleFrame, Log: zerolog.Nop()}
 	require.NoError(t, o.server.Listen())
 	go o.server.Start(context.Background()) //nolint:errcheck // ends with Stop
 	a.Name, a.Hall, a.Address = "a", "h", address()
@@ -117,7 +117,7 @@
 		o.client.Close()
 		_ = o.server.Stop(context.Background())
 	})
-	o.eventually(func() bool { return o.heard() != nil })
+	o.eventually(func() bool { return o.lastHeartbeat() != nil })
 	return o
 }
 
@@ -126,13 +126,13 @@
 	require.Eventually(o.t, ok, testTimeout, time.Millisecond)
 }
 
-func (o *owner) heard() *wire.Heartbeat {
+func (o *owner) lastHeartbeat() *wire.Heartbeat {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.beat
 }
 
-func (o *owner) take(b *wire.Batch) {
+func (o *owner) handleFrame(b *wire.Batch) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.tokens = append(o.tokens, b.GetTokens()...)
@@ -149,13 +149,13 @@
 	return len(o.tokens), len(o.troubles)
 }
 
-// first returns the first step of an attempt of a request whose only stage is this agent. The
+// firstStep returns the firstStep step of an attempt of a request whose only stage is this agent. The
 // answer ends after one token.
-func (o *owner) first(request string, attempt uint32) *wire.Step {
+func (o *owner) firstStep(request string, attempt uint32) *wire.Step {
 	return &wire.Step{
 		Request: []byte(request), Attempt: attempt, Count: 2, Payload: make([]byte, 8),
 		Open: &wire.Open{Model: "m", Owner: o.server.Address, Limit: 3, Chain: []*wire.Stage{{
-			Endpoint: "a", Address: o.agent.Address, Incarnation: o.heard().GetIncarnation(), End: 4,
+			Endpoint: "a", Address: o.agent.Address, Incarnation: o.lastHeartbeat().GetIncarnation(), End: 4,
 		}}},
 	}
 }
@@ -169,9 +169,9 @@
 func TestDuplicateStepRunsOnceAndIsAnsweredAgain(t *testing.T) {
 	e := new(fakeEngine)
 	o := start(t, &agent.Agent{Engine: e})
-	o.send(o.first("r", 1))
+	o.send(o.firstStep("r", 1))
 	o.eventually(func() bool { n, _ := o.counts(); return n == 1 })
-	o.send(o.first("r", 1))
+	o.send(o.firstStep("r", 1))
 	o.eventually(func() bool { n, _ := o.counts(); return n == 2 })
 	require.Equal(t, []string{"1@0"}, e.runs())
 }
@@ -180,9 +180,9 @@
 func TestDuplicateStepRunsTwiceWithoutFence(t *testing.T) {
 	e := new(fakeEngine)
 	o := start(t, &agent.Agent{Engine: e, Unfenced: true})
-	o.send(o.first("r", 1))
+	o.send(o.firstStep("r", 1))
 	o.eventually(func() bool { n, _ := o.counts(); return n == 1 })
-	o.send(o.first("r", 1))
+	o.send(o.firstStep("r", 1))
 	o.eventually(func() bool { n, _ := o.counts(); return n == 2 })
 	require.Equal(t, []string{"1@0", "1@0"}, e.runs())
 }
@@ -190,7 +190,7 @@
 func TestPreviousAttemptIsIgnored(t *testing.T) {
 	e := new(fakeEngine)
 	o := start(t, &agent.Agent{Engine: e})
-	o.send(o.first("r", 2), o.first("r", 1), o.first("other", 1))
+	o.send(o.firstStep("r", 2), o.firstStep("r", 1), o.firstStep("other", 1))
 	o.eventually(func() bool { n, _ := o.counts(); return n == 2 })
 	require.Equal(t, []string{"2@0", "1@0"}, e.runs())
 	o.mu.Lock()
@@ -202,12 +202,12 @@
 func TestRefusedAttemptNeverRuns(t *testing.T) {
 	e := new(fakeEngine)
 	o := start(t, &agent.Agent{Engine: e})
-	wrong := o.first("r", 1)
+	wrong := o.firstStep("r", 1)
 	wrong.Open.Chain[0].Incarnation++
 	o.send(wrong)
 	o.eventually(func() bool { _, n := o.counts(); return n == 1 })
 	require.Equal(t, wire.Trouble_INCARNATION, o.troubles[0].GetReason())
-	o.send(o.first("r", 1), o.first("r", 2))
+	o.send(o.firstStep("r", 1), o.firstStep("r", 2))
 	o.eventually(func() bool { n, _ := o.counts(); return n == 1 })
 	require.Equal(t, []string{"2@0"}, e.runs())
 }
@@ -216,7 +216,7 @@
 	e := new(fakeEngine)
 	o := start(t, &agent.Agent{Engine: e})
 	o.links.Cancel(o.agent.Address, &wire.Cancel{Request: []byte("r"), Attempt: 1})
-	o.send(o.first("r", 1), o.first("other", 1))
+	o.send(o.firstStep("r", 1), o.firstStep("other", 1))
 	o.eventually(func() bool { n, _ := o.counts(); return n == 1 })
 	require.Equal(t, []string{"1@0"}, e.runs())
 	require.Equal(t, []byte("other"), o.tokens[0].GetRequest())
@@ -225,7 +225,7 @@
 func TestMissingPositionIsReported(t *testing.T) {
 	e := new(fakeEngine)
 	o := start(t, &agent.Agent{Engine: e})
-	s := o.first("r", 1)
+	s := o.firstStep("r", 1)
 	s.Position = 5
 	o.send(s)
 	o.eventually(func() bool { _, n := o.counts(); return n == 1 })
@@ -237,7 +237,7 @@
 	e := &fakeEngine{hold: make(chan struct{})}
 	o := start(t, &agent.Agent{Engine: e})
 	for i := range 9 { // one more than the agent admits, which is twice its limit
-		o.send(o.first(fmt.Sprint(i), 1))
+		o.send(o.firstStep(fmt.Sprint(i), 1))
 	}
 	o.eventually(func() bool { _, n := o.counts(); return n == 1 })
 	require.Equal(t, wire.Trouble_BUSY, o.troubles[0].GetReason())
@@ -248,8 +248,8 @@
 func TestLeavingAgentRefusesNewWorkAndFinishesTheRest(t *testing.T) {
 	e := &fakeEngine{hold: make(chan struct{})}
 	o := start(t, &agent.Agent{Engine: e, Heartbeat: 300 * time.Millisecond})
-	o.send(o.first("old", 1))
-	o.eventually(func() bool { return o.heard().GetLoad().GetSessions() == 1 })
+	o.send(o.firstStep("old", 1))
+	o.eventually(func() bool { return o.lastHeartbeat().GetLoad().GetSessions() == 1 })
 	stopped := make(chan error, 1)
 	go func() { stopped <- o.agent.Stop() }()
 	o.eventually(func() bool {
@@ -258,10 +258,10 @@
 		return o.leaving
 	})
 	require.False(t, o.agent.Leaving(), "entries must be notified before new work is refused")
-	o.send(o.first("sent before the owner heard", 1))
-	o.eventually(func() bool { return o.heard().GetLoad().GetSessions() == 2 })
+	o.send(o.firstStep("sent before the owner heard", 1))
+	o.eventually(func() bool { return o.lastHeartbeat().GetLoad().GetSessions() == 2 })
 	o.eventually(o.agent.Leaving)
-	o.send(o.first("new", 1))
+	o.send(o.firstStep("new", 1))
 	o.eventually(func() bool { _, n := o.counts(); return n == 1 })
 	require.Equal(t, wire.Trouble_LEAVING, o.troubles[0].GetReason())
 	e.hold <- struct{}{}
@@ -283,7 +283,7 @@
 		}, reply))
 		return reply
 	}
-	current := o.heard().GetIncarnation()
+	current := o.lastHeartbeat().GetIncarnation()
 	require.True(t, sendOrder(5, current).GetAccepted())
 	o.eventually(func() bool { return sendOrder(6, current).GetAccepted() })
 	require.False(t, sendOrder(5, current).GetAccepted(), "order of a replaced leader")
@@ -316,7 +316,7 @@
 func (o *owner) call(claim string, epoch uint64) *wire.CallReply {
 	reply := new(wire.CallReply)
 	require.NoError(o.t, o.client.Call(context.Background(), o.agent.Address, "call", &wire.Call{
-		Key: make([]byte, 16), Claim: claim, Incarnation: o.heard().GetIncarnation(), Service: "records",
+		Key: make([]byte, 16), Claim: claim, Incarnation: o.lastHeartbeat().GetIncarnation(), Service: "records",
 		Method: "POST", Path: "/", Once: true, TimeoutMillis: 60_000, Epoch: epoch,
 	}, reply))
 	return reply
@@ -348,13 +348,13 @@
 	close(r.hold)
 	group.Wait()
 	require.Equal(t, 1, r.ran)
-	require.Equal(t, wire.CallReply_DONE, o.settle("claim-9", o.heard().GetIncarnation()).GetOutcome())
+	require.Equal(t, wire.CallReply_DONE, o.settle("claim-9", o.lastHeartbeat().GetIncarnation()).GetOutcome())
 }
 
 func TestSettledCallNeverStarts(t *testing.T) {
 	r := new(countingService)
 	o := start(t, &agent.Agent{Plain: r, Service: "records"})
-	mine := o.heard().GetIncarnation()
+	mine := o.lastHeartbeat().GetIncarnation()
 	require.Equal(t, wire.CallReply_UNKNOWN, o.settle("late", mine-1).GetOutcome(), "another incarnation")
 	require.Equal(t, wire.CallReply_NOT_RUN, o.settle("late", mine).GetOutcome())
 	require.Equal(t, wire.CallReply_NOT_RUN, o.call("late", 0).GetOutcome())
@@ -385,5 +385,5 @@
 	dead := &wire.Peer{Name: "dead", Address: address()}
 	o.links.News(o.agent.Address, &wire.News{Entries: []*wire.Peer{dead}})
 	wanted := agent.EntriesHash([]*wire.Peer{dead})
-	o.eventually(func() bool { return o.heard().GetEntriesHash() == wanted })
+	o.eventually(func() bool { return o.lastHeartbeat().GetEntriesHash() == wanted })
 }
