--- a/role/partition/detector_test.go
+++ b/role/partition/detector_test.go
@@ -15,7 +15,8 @@
 	"github.com/grademill/grademill/wire/gossip"
 )
 
-// The gateway under test. Its proof is late and its calls to the store fail.
+// self is the gateway under test. lateAge is an age at which its freshness proof is
+// late while calls to the store fail.
 var (
 	self    = overlay.Member{Name: "self", Hall: "north"}
 	lateAge = 2 * time.Second
@@ -31,12 +32,12 @@
 		proven  time.Duration // after the outage was reported
 		alone   bool
 	}{
-		"another one, before":           {hall: "north", proven: -time.Second},
-		"another one, seemingly after":  {hall: "north", proven: time.Second},
-		"another one, answers":          {hall: "north", answers: true, proven: -time.Second, alone: true},
-		"another hall, before":          {hall: "south", members: 3, proven: -time.Second},
-		"another hall, seemingly after": {hall: "south", members: 3, proven: 200 * time.Millisecond},
-		"another hall, after":           {hall: "south", members: 3, proven: 400 * time.Millisecond, alone: true},
+		"same hall, proof before the outage":         {hall: "north", proven: -time.Second},
+		"same hall, proof after, no answer":          {hall: "north", proven: time.Second},
+		"same hall, answers the outage":              {hall: "north", answers: true, proven: -time.Second, alone: true},
+		"other hall, proof before the outage":        {hall: "south", members: 3, proven: -time.Second},
+		"other hall, proof within the summary delay": {hall: "south", members: 3, proven: 200 * time.Millisecond},
+		"other hall, proof after the summary delay":  {hall: "south", members: 3, proven: 400 * time.Millisecond, alone: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			begun := time.Now()
