--- a/role/admission/line_test.go
+++ b/role/admission/line_test.go
@@ -154,19 +154,19 @@
 // always first, most would be late.
 func TestMostRequestsMeetTheObjectiveFarAboveCapacity(t *testing.T) {
 	for _, load := range []float64{1.7, 2.4, 3.2} {
-		inUse, before := simulate(t, load, nil), simulate(t, load, retriedFirst)
+		adaptive, fixed := simulate(t, load, nil), simulate(t, load, retriedFirst)
 		capacity := slots / streamTime.Seconds() * loadTime.Seconds()
-		require.Greater(t, float64(inUse.inTime), 0.8*capacity, "served in time at load %v", load)
-		require.Greater(t, inUse.inTime, 2*before.inTime, "served in time at load %v, against retried requests first", load)
+		require.Greater(t, float64(adaptive.inTime), 0.8*capacity, "served in time at load %v", load)
+		require.Greater(t, adaptive.inTime, 2*fixed.inTime, "served in time at load %v, against retried requests first", load)
 	}
 }
 
 // Slightly above capacity, retried requests are served. With new requests always first, the retried
 // ones would be lost.
 func TestFewCallersAreLostSlightlyAboveCapacity(t *testing.T) {
-	inUse, other := simulate(t, 1.05, nil), simulate(t, 1.05, newFirst)
-	require.LessOrEqual(t, inUse.lost, other.lost)
-	require.Less(t, float64(inUse.lost), 0.06*float64(inUse.inTime+inUse.late))
+	adaptive, fixed := simulate(t, 1.05, nil), simulate(t, 1.05, newFirst)
+	require.LessOrEqual(t, adaptive.lost, fixed.lost)
+	require.Less(t, float64(adaptive.lost), 0.06*float64(adaptive.inTime+adaptive.late))
 }
 
 // The Retry-After delay of a refused caller is at least the time after which the slots in use
