--- a/role/partition/detector_test.go
+++ b/role/partition/detector_test.go
@@ -15,7 +15,8 @@
 	"github.com/grademill/grademill/wire/gossip"
 )
 
-// The gateway under test. Its proof is late and its calls to the store fail.
+// self is the gateway under test. lateAge is an age at which its freshness proof is
+// late while calls to the store fail.
 var (
 	self    = overlay.Member{Name: "self", Hall: "north"}
 	lateAge = 2 * time.Second
@@ -31,12 +32,12 @@
 		proven  time.Duration // after the outage was reported
 		alone   bool
 	}{
-		"another one, before":           {hall: "north", proven: -time.Second},
-		"another one, seemingly after":  {hall: "north", proven: time.Second},
-		"another one, answers":          {hall: "north", answers: true, proven: -time.Second, alone: true},
-		"another hall, before":          {hall: "south", members: 3, proven: -time.Second},
-		"another hall, seemingly after": {hall: "south", members: 3, proven: 200 * time.Millisecond},
-		"another hall, after":           {hall: "south", members: 3, proven: 400 * time.Millisecond, alone: true},
+		"same hall, proof before the outage":         {hall: "north", proven: -time.Second},
+		"same hall, proof after, no answer":          {hall: "north", proven: time.Second},
+		"same hall, answers the outage":              {hall: "north", answers: true, proven: -time.Second, alone: true},
+		"other hall, proof before the outage":        {hall: "south", members: 3, proven: -time.Second},
+		"other hall, proof within the summary delay": {hall: "south", members: 3, proven: 200 * time.Millisecond},
+		"other hall, proof after the summary delay":  {hall: "south", members: 3, proven: 400 * time.Millisecond, alone: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			begun := time.Now()
@@ -79,11 +80,11 @@
 	begun := time.Now()
 	var loaded, failing atomic.Bool
 	loaded.Store(true)
-	asked := 0
+	queries := 0
 	d := &partition.Detector{
 		Policy: freshness.Policy{Revocation: 5 * time.Second}, Peers: &peers.Table{},
 		Age: func() time.Duration { return 2 * lateAge }, Loaded: &loaded, Failing: &failing,
-		Refresh: func() { asked++ }, Clock: time.Now, Log: zerolog.Nop(),
+		Refresh: func() { queries++ }, Clock: time.Now, Log: zerolog.Nop(),
 	}
 	d.Init()
 	reportedOutage := func(at time.Duration) uint64 {
@@ -93,8 +94,8 @@
 		return own.GetOutage()
 	}
 	require.Zero(t, reportedOutage(0))
-	require.Equal(t, 1, asked)
+	require.Equal(t, 1, queries)
 	require.Zero(t, reportedOutage(200*time.Millisecond))
 	require.NotZero(t, reportedOutage(300*time.Millisecond))
-	require.Equal(t, 1, asked)
+	require.Equal(t, 1, queries)
 }
