--- a/adapter/callerhttp/write.go
+++ b/adapter/callerhttp/write.go
@@ -33,7 +33,7 @@
 	outcome.Overloaded:   http.StatusTooManyRequests,
 	outcome.DeadlineOver: http.StatusGatewayTimeout,
 	outcome.Conflict:     http.StatusUnprocessableEntity,
-	outcome.InDoubt:      http.StatusBadGateway,
+	outcome.Uncertain:    http.StatusBadGateway,
 	outcome.StageLost:    http.StatusBadGateway,
 	outcome.Internal:     http.StatusInternalServerError,
 }
--- a/adapter/ingress/server_test.go
+++ b/adapter/ingress/server_test.go
@@ -99,19 +99,19 @@
 		_, err := io.WriteString(c, request)
 		s.Stop()
 		require.NoError(t, err)
-		require.False(t, s.Quiet())
+		require.False(t, s.Idle())
 		answer, err := http.ReadResponse(r, nil)
 		require.NoError(t, err)
 		require.True(t, answer.Close)
 		_, err = io.Copy(io.Discard, answer.Body)
 		require.NoError(t, err)
-		require.Eventually(t, s.Quiet, waitTimeout, time.Millisecond)
+		require.Eventually(t, s.Idle, waitTimeout, time.Millisecond)
 	}
 }
 
-// After Retire, an idle connection closes with its next response. If the previous response has
-// not quite finished, the connection may close after that one, as it does after a response
-// begun before Retire; a request sent at that moment is not served.
+// After CloseAfterResponses, an idle connection closes with its next response. If the previous
+// response has not quite finished, the connection may close after that one, as it does after a
+// response begun before CloseAfterResponses; a request sent at that moment is not served.
 func TestRetireClosesConnectionsAfterTheirResponses(t *testing.T) {
 	announced := 0
 	for range 20 {
@@ -122,7 +122,7 @@
 		}), ingress.Limits{})
 		c, r := dial(t, s)
 		require.False(t, ask(t, c, r).Close)
-		s.Retire()
+		s.CloseAfterResponses()
 		_, err := io.WriteString(c, request)
 		var answer *http.Response
 		if err == nil {
@@ -140,15 +140,16 @@
 }
 
 func TestIdleTimeIsBounded(t *testing.T) {
-	s := start(t, http.NotFoundHandler(), ingress.Limits{Idle: 10 * time.Millisecond})
+	s := start(t, http.NotFoundHandler(), ingress.Limits{MaxIdle: 10 * time.Millisecond})
 	c, r := dial(t, s)
 	ask(t, c, r)
 	_, err := r.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// A response whose head went out before Retire cannot announce that the connection closes. The
-// connection must close once that response is complete, and take no further request.
+// A response whose head went out before CloseAfterResponses cannot announce that the
+// connection closes. The connection must close once that response is complete, and take no
+// further request.
 func TestConnectionClosesAfterResponseBegunBeforeRetire(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
 	s := start(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -161,7 +162,7 @@
 	_, err := io.WriteString(c, request)
 	require.NoError(t, err)
 	<-entered
-	s.Retire()
+	s.CloseAfterResponses()
 	close(release)
 	answer, err := http.ReadResponse(r, nil)
 	require.NoError(t, err)
@@ -175,7 +176,7 @@
 
 // A request head longer than the limit is refused, and its connection is closed.
 func TestLongHeadIsRefused(t *testing.T) {
-	s := start(t, http.NotFoundHandler(), ingress.Limits{HeadBytes: 200})
+	s := start(t, http.NotFoundHandler(), ingress.Limits{MaxHeaderBytes: 200})
 	c, r := dial(t, s)
 	require.Equal(t, http.StatusNotFound, ask(t, c, r).StatusCode)
 	_, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\nX-Long: "+strings.Repeat("x", 200)+"\r\n\r\n")
@@ -192,7 +193,7 @@
 // A connection is closed if its request head takes longer than the limit, but not if no head
 // has started.
 func TestSlowHeadEndsTheConnection(t *testing.T) {
-	s := start(t, http.NotFoundHandler(), ingress.Limits{HeadWait: 10 * time.Millisecond})
+	s := start(t, http.NotFoundHandler(), ingress.Limits{ReadHeaderTimeout: 10 * time.Millisecond})
 	idle, idleReader := dial(t, s)
 	slow, r := dial(t, s)
 	_, err := io.WriteString(slow, "GET / HTTP/1.1\r\nHo")
--- a/adapter/link/set.go
+++ b/adapter/link/set.go
@@ -28,14 +28,14 @@
 )
 
 // Set holds the connections to all peers. Set the exported fields before the first use. A
-// connection that breaks loses the messages queued on it: Set calls Down, and the next message
-// opens a new connection.
+// connection that breaks loses the messages queued on it: Set calls OnDisconnect, and the next
+// message opens a new connection.
 type Set struct {
 	// Name and Incarnation identify this process in the hello.
 	Name        string
 	Incarnation uint64
-	// Down is called when the connection to a peer breaks, without locks held.
-	Down func(address string)
+	// OnDisconnect is called when the connection to a peer breaks, without locks held.
+	OnDisconnect func(address string)
 	// Log receives a line for each broken connection.
 	Log zerolog.Logger
 
@@ -140,8 +140,8 @@
 		level = zerolog.InfoLevel
 	}
 	s.Log.WithLevel(level).Str("peer", p.address).AnErr("cause", err).Msg("step connection lost")
-	if s.Down != nil {
-		s.Down(p.address)
+	if s.OnDisconnect != nil {
+		s.OnDisconnect(p.address)
 	}
 }
 
--- a/adapter/meter/gateway.go
+++ b/adapter/meter/gateway.go
@@ -130,8 +130,8 @@
 	m.digests.WithLabelValues(fate).Add(float64(bytes))
 }
 
-// Fleet records how many endpoints accept new requests and how many are leaving.
-func (m *Gateway) Fleet(open, leaving int) {
+// Endpoints records how many endpoints accept new requests and how many are leaving.
+func (m *Gateway) Endpoints(open, leaving int) {
 	m.endpoints.WithLabelValues("open").Set(float64(open))
 	m.endpoints.WithLabelValues("leaving").Set(float64(leaving))
 }
@@ -154,5 +154,5 @@
 // PlatformCall counts a call to an endpoint's control interface.
 func (m *Gateway) PlatformCall(kind string) { m.platform.WithLabelValues(kind).Inc() }
 
-// Dropped counts dropped log lines.
-func (m *Gateway) Dropped(n int) { m.dropped.Add(float64(n)) }
+// DroppedLogLines counts dropped log lines.
+func (m *Gateway) DroppedLogLines(n int) { m.dropped.Add(float64(n)) }
--- a/adapter/peek/peek_test.go
+++ b/adapter/peek/peek_test.go
@@ -11,7 +11,7 @@
 	"github.com/grademill/grademill/adapter/peek"
 )
 
-// Pending reads nothing from the connection and tells its states apart.
+// HasUnread reads nothing from the connection and tells its states apart.
 func TestPending(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -24,7 +24,7 @@
 	defer far.Close() //nolint:errcheck // a test's connection
 	state := func(pending bool, want error) func() bool {
 		return func() bool {
-			p, err := peek.Pending(far)
+			p, err := peek.HasUnread(far)
 			return p == pending && err == want
 		}
 	}
@@ -38,7 +38,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "a", string(b))
 	read := make(chan error)
-	go func() { // Pending also works while another goroutine is reading
+	go func() { // HasUnread also works while another goroutine is reading
 		_, err := far.Read(b)
 		read <- err
 	}()
@@ -47,9 +47,9 @@
 	require.Eventually(t, state(false, io.EOF), waitTimeout, poll)
 	require.ErrorIs(t, <-read, io.EOF)
 	require.NoError(t, far.Close())
-	_, err = peek.Pending(far)
+	_, err = peek.HasUnread(far)
 	require.ErrorIs(t, err, net.ErrClosed)
 	one, _ := net.Pipe()
-	_, err = peek.Pending(one)
+	_, err = peek.HasUnread(one)
 	require.Error(t, err)
 }
--- a/adapter/probe/prober_test.go
+++ b/adapter/probe/prober_test.go
@@ -34,7 +34,7 @@
 // Guards against taking live endpoints for dead in a starved process. A gateway without
 // processor time for 1.3 s reported ten endpoints as not answering and broke off 18 streams:
 // the HTTP client's own timeout had passed meanwhile, and its error ("Client.Timeout exceeded
-// while awaiting headers") no longer wrapped ErrHeldUp.
+// while awaiting headers") no longer wrapped ErrUncertain.
 func TestStarvedProcessIsReportedWhateverTheClientError(t *testing.T) {
 	never := func(answered <-chan struct{}) error {
 		<-answered
@@ -44,14 +44,14 @@
 		silence func(<-chan struct{}) error
 		want    error
 	}{
-		"starved process":            {func(<-chan struct{}) error { return probe.ErrHeldUp }, probe.ErrHeldUp},
-		"timeout of the client only": {never, probe.ErrHeldUp},
+		"starved process":            {func(<-chan struct{}) error { return probe.ErrUncertain }, probe.ErrUncertain},
+		"timeout of the client only": {never, probe.ErrUncertain},
 		"silent":                     {func(<-chan struct{}) error { return errSilent }, errSilent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := probe.Prober{Control: control{causeHider: causeHider{time.Second}}, Silence: c.silence}
-				_, err := p.Ask(t.Context(), "endpoint")
+				p := probe.Prober{Control: control{causeHider: causeHider{time.Second}}, AwaitAnswer: c.silence}
+				_, err := p.Query(t.Context(), "endpoint")
 				require.ErrorIs(t, err, c.want)
 			})
 		})
@@ -102,9 +102,9 @@
 		want   error
 	}{
 		"reference answers": {map[string]time.Duration{"other": quick}, errSilent},
-		"neither in time":   {map[string]time.Duration{"other": congested, "endpoint": congested}, probe.ErrHeldUp},
+		"neither in time":   {map[string]time.Duration{"other": congested, "endpoint": congested}, probe.ErrUncertain},
 		"endpoint answers":  {map[string]time.Duration{"other": quick, "endpoint": 75 * time.Millisecond}, nil},
-		"nothing answers":   {map[string]time.Duration{}, probe.ErrHeldUp},
+		"nothing answers":   {map[string]time.Duration{}, probe.ErrUncertain},
 		"slow endpoint":     {map[string]time.Duration{"other": quick, "endpoint": congested}, errSilent},
 		"quick endpoint":    {map[string]time.Duration{"endpoint": quick}, nil},
 	} {
@@ -113,7 +113,7 @@
 				p := probe.Prober{
 					Control:   delayed{delays: c.delays},
 					Reference: func(string) string { return "other" },
-					Silence: func(answered <-chan struct{}) error {
+					AwaitAnswer: func(answered <-chan struct{}) error {
 						select {
 						case <-answered:
 							return nil
@@ -122,7 +122,7 @@
 						}
 					},
 				}
-				_, err := p.Ask(t.Context(), "endpoint")
+				_, err := p.Query(t.Context(), "endpoint")
 				require.ErrorIs(t, err, c.want)
 			})
 		})
@@ -140,7 +140,7 @@
 	return runner.Report{}, nil
 }
 
-// A shared answer says nothing about events after its request was sent. Without AskSince, an
+// A shared answer says nothing about events after its request was sent. Without QuerySince, an
 // endpoint that had just answered and then ended under a request counted as alive, and its end
 // was not charged to the request.
 func TestAnswerToEarlierRequestIsNotUsed(t *testing.T) {
@@ -149,7 +149,7 @@
 		c := new(counting)
 		p := probe.Prober{Control: c}
 		ask := func(since time.Time) {
-			_, err := p.AskSince(t.Context(), "endpoint", since)
+			_, err := p.QuerySince(t.Context(), "endpoint", since)
 			require.NoError(t, err)
 		}
 		ask(time.Time{})
--- a/adapter/upstream/call.go
+++ b/adapter/upstream/call.go
@@ -23,14 +23,14 @@
 	Body   []byte
 	// HasBody is set if the original request had a body, even an empty one.
 	HasBody bool
-	// Rest is the maximum time that a connection may have been idle to be reused.
-	Rest time.Duration
-	// Mine reports whether a response with these headers belongs to this request. Other
+	// MaxIdle is the maximum time that a connection may have been idle to be reused.
+	MaxIdle time.Duration
+	// Matches reports whether a response with these headers belongs to this request. Other
 	// responses are skipped, since an endpoint may answer a request twice.
-	Mine func(http.Header) bool
-	// Wrote, if set, is called just before the request is written: from then on the endpoint
-	// may receive it.
-	Wrote func()
+	Matches func(http.Header) bool
+	// BeforeWrite, if set, is called just before the request is written: from then on the
+	// endpoint may receive it.
+	BeforeWrite func()
 }
 
 // SendError reports a call that failed before the complete head of its response was read.
@@ -52,12 +52,12 @@
 	return e.Err
 }
 
-// StrayAnswerError reports more responses that belong to other requests than are skipped.
-type StrayAnswerError struct {
+// StrayResponseError reports more responses that belong to other requests than are skipped.
+type StrayResponseError struct {
 	Status int
 }
 
-func (e *StrayAnswerError) Error() string {
+func (e *StrayResponseError) Error() string {
 	return fmt.Sprintf("too many answers that belong to other requests, the last with status %d", e.Status)
 }
 
@@ -70,14 +70,14 @@
 // Do sends a call and returns once the head of its response has been read. It closes the
 // connection when ctx ends. Errors are *SendError.
 func (p *Pool) Do(ctx context.Context, c Call) (*Answer, error) {
-	connection, err := p.take(ctx, c.Address, c.Rest)
+	connection, err := p.take(ctx, c.Address, c.MaxIdle)
 	if err != nil {
 		return nil, &SendError{Err: err}
 	}
 	a := &Answer{pool: p, conn: connection, address: c.Address}
 	a.stop = context.AfterFunc(ctx, func() { _ = connection.Close() })
-	if c.Wrote != nil {
-		c.Wrote()
+	if c.BeforeWrite != nil {
+		c.BeforeWrite()
 	}
 	if err := a.write(c); err != nil {
 		a.Close()
@@ -102,9 +102,9 @@
 type Answer struct {
 	Status int
 	Header http.Header
-	// Unframed is set if the body has no length and no chunks, so that only the end of the
+	// EndsAtClose is set if the body has no length and no chunks, so that only the end of the
 	// connection ends it.
-	Unframed bool
+	EndsAtClose bool
 
 	pool    *Pool
 	conn    *conn
@@ -166,7 +166,7 @@
 		switch {
 		case response.StatusCode < http.StatusOK: // interim response
 			continue
-		case c.Mine == nil || c.Mine(response.Header):
+		case c.Matches == nil || c.Matches(response.Header):
 			a.accept(response, stray > 0)
 			return nil
 		}
@@ -174,7 +174,7 @@
 			return err
 		}
 		if stray++; stray > maxStray || response.Close {
-			return &StrayAnswerError{Status: response.StatusCode}
+			return &StrayResponseError{Status: response.StatusCode}
 		}
 	}
 }
@@ -183,8 +183,8 @@
 // came before it; the connection is not reused then.
 func (a *Answer) accept(r *http.Response, afterStray bool) {
 	a.Status, a.Header, a.body = r.StatusCode, r.Header, r.Body
-	a.Unframed = r.ContentLength < 0 && len(r.TransferEncoding) == 0
-	if !afterStray && !r.Close && !a.Unframed {
+	a.EndsAtClose = r.ContentLength < 0 && len(r.TransferEncoding) == 0
+	if !afterStray && !r.Close && !a.EndsAtClose {
 		a.maxIdle = keepAliveTimeout(r.Header)
 	}
 	r.Header.Del("Connection")
--- a/cmd/grademill/roles.go
+++ b/cmd/grademill/roles.go
@@ -25,7 +25,7 @@
 	"github.com/grademill/grademill/role/agent"
 	"github.com/grademill/grademill/role/entry"
 	"github.com/grademill/grademill/role/settings"
-	"github.com/grademill/grademill/state/replica"
+	"github.com/grademill/grademill/state/configreplica"
 )
 
 // exitSettings is the exit code for an invalid settings file.
@@ -115,14 +115,14 @@
 	log := newLog(file.LogLevel, file.Name)
 	metrics := meter.NewEntry()
 	metrics.Registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	platform := &platformhttp.Client{Base: s.Platform, Counted: metrics.PlatformCall}
+	platform := &platformhttp.Client{Base: s.Platform, OnCall: metrics.PlatformCall}
 	e := &entry.Entry{
 		Name: file.Name, Hall: file.Hall, Address: file.Address, Peers: s.Peers,
 		Store: platform, Hosts: platform, Links: linkLatencies(s.Links),
 		MaxQueue: orDefault(s.MaxQueue, defaultQueue), MaxDeadline: s.MaxDeadline.Or(defaultDeadline),
 		MinStall: s.MinStall.Or(defaultMinStall), MaxStall: s.MaxStall.Or(defaultMaxStall),
 		RecoverWait: s.RecoverWait.Or(defaultRecoverWait), Expiry: s.Expiry.Or(defaultExpiry),
-		Sync: s.Sync.Or(defaultSync), ListEvery: defaultList, Watchers: defaultWatchers,
+		Sync: s.Sync.Or(defaultSync), HostListInterval: defaultList, Watchers: defaultWatchers,
 		Retries: retry.Budget{
 			Share: orDefault(s.RetryShare, defaultRetryShare), Window: defaultRetryWindow,
 			Reserve: orDefault(s.RetryReserve, defaultReserve),
@@ -156,7 +156,7 @@
 }
 
 // teamOf returns a function that maps the hash of a key to its team.
-func teamOf(c *replica.Config) func(string) (string, bool) {
+func teamOf(c *configreplica.Config) func(string) (string, bool) {
 	return func(hash string) (string, bool) {
 		team, ok := c.Current().TeamByKey[hash]
 		return team, ok
--- a/decide/apportion/division.go
+++ b/decide/apportion/division.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// DefaultEven is the fraction of a limit that is divided evenly, so that a gateway without
+	// DefaultEvenShare is the fraction of a limit that is divided evenly, so that a gateway without
 	// demand until now can start at once.
-	DefaultEven = 0.1
+	DefaultEvenShare = 0.1
 	// holdersPerLimit and spareHolders bound the number of gateways with a share, in proportion to
 	// the limit: each may accumulate one request, or its share over throttle.BurstSpan. If all of
 	// them spend their tokens at once, the endpoint gets at most twice the limit within a second,
@@ -40,20 +40,20 @@
 	// Fleet is the number of gateways, Own included. An even share is set aside for each gateway
 	// without a report, because it may be cut off from this gateway alone.
 	Fleet int
-	// Own is this gateway's claim, Near holds those of the gateways that report to it one by one,
-	// and Far those of other halls.
-	Own       Claim
-	Near, Far []Claim
-	// Even is the fraction of the limit that is divided evenly, from 0 to 1. The rest is divided in
-	// proportion to demand.
-	Even float64
+	// Own is this gateway's claim, Individual holds those of the gateways that report to it one by
+	// one, and HallSums those of other halls.
+	Own                  Claim
+	Individual, HallSums []Claim
+	// EvenShare is the fraction of the limit that is divided evenly, from 0 to 1. The rest is
+	// divided in proportion to demand.
+	EvenShare float64
 }
 
 // Share returns this gateway's share in requests per second. If there are more near gateways than
 // can have a usable share, most of them get 0.
 func (d Division) Share() float64 {
 	reporting, wanted := d.Own.Members, d.Own.Wanted
-	for _, c := range slices.Concat(d.Near, d.Far) {
+	for _, c := range slices.Concat(d.Individual, d.HallSums) {
 		reporting += c.Members
 		wanted += c.Wanted
 	}
@@ -63,14 +63,14 @@
 		if wanted <= 0 {
 			return even
 		}
-		return d.Even*even + (1-d.Even)*c.Wanted/wanted*float64(reporting)/fleet
+		return d.EvenShare*even + (1-d.EvenShare)*c.Wanted/wanted*float64(reporting)/fleet
 	}
 	near := shareOf(d.Own)
-	for _, c := range d.Near {
+	for _, c := range d.Individual {
 		near += shareOf(c)
 	}
 	maxHolders := max(int((d.Limit*holdersPerLimit+spareHolders)*near), 1)
-	if len(d.Near) < maxHolders {
+	if len(d.Individual) < maxHolders {
 		return d.Limit * shareOf(d.Own)
 	}
 	holders := d.holders(maxHolders)
@@ -78,7 +78,7 @@
 		return 0
 	}
 	holdersShare := shareOf(d.Own)
-	for _, c := range d.Near {
+	for _, c := range d.Individual {
 		if slices.Contains(holders, c.Name) {
 			holdersShare += shareOf(c)
 		}
@@ -90,8 +90,8 @@
 // with demand come first.
 func (d Division) holders(n int) []string {
 	var wanting, others []string
-	for _, c := range append([]Claim{d.Own}, d.Near...) {
-		if c.Wanted > 0 && d.Even < 1 {
+	for _, c := range append([]Claim{d.Own}, d.Individual...) {
+		if c.Wanted > 0 && d.EvenShare < 1 {
 			wanting = append(wanting, c.Name)
 		} else {
 			others = append(others, c.Name)
--- a/decide/apportion/division_test.go
+++ b/decide/apportion/division_test.go
@@ -100,7 +100,7 @@
 			}
 			for range m.arrivals(n.demand(at)) {
 				n.throttle = n.throttle.WithDemand(now)
-				if n.throttle.Held(now) == throttle.Free {
+				if n.throttle.Held(now) == throttle.NotHeld {
 					n.throttle = n.throttle.WithRequest(now)
 					m.sent = append(m.sent, now)
 				}
@@ -158,7 +158,7 @@
 // share returns a gateway's share. It drops the claims of gateways that cannot reach it.
 func (m *simulation) share(n *node, at time.Duration) float64 {
 	d := apportion.Division{
-		Key: "endpoint", Limit: m.limit(at), Fleet: len(m.nodes), Even: m.even,
+		Key: "endpoint", Limit: m.limit(at), Fleet: len(m.nodes), EvenShare: m.even,
 		Own: apportion.Claim{Name: n.name, Members: 1, Wanted: n.throttle.Claim(epoch.Add(at), 2*m.digestInterval())},
 	}
 	for _, other := range m.nodes {
@@ -168,9 +168,9 @@
 	}
 	for _, c := range n.claims {
 		if c.Name != "" {
-			d.Near = append(d.Near, c)
+			d.Individual = append(d.Individual, c)
 		} else {
-			d.Far = append(d.Far, c)
+			d.HallSums = append(d.HallSums, c)
 		}
 	}
 	return d.Share()
@@ -230,7 +230,7 @@
 				return m.run()
 			}
 			evenly, excessEvenly := runWith(even)
-			byDemand, excess := runWith(apportion.DefaultEven)
+			byDemand, excess := runWith(apportion.DefaultEvenShare)
 			t.Logf("limit %.3g/s: %.2f/s evenly (worst excess %d), %.2f/s by demand (%d)", c.limit, evenly, excessEvenly, byDemand, excess)
 			assert.LessOrEqual(t, excessEvenly, 0)
 			assert.LessOrEqual(t, excess, 0)
@@ -271,7 +271,7 @@
 			t.Run(fmt.Sprint(name, " ", size), func(t *testing.T) {
 				t.Parallel()
 				m := newSimulation(size, func(int) float64 { return 6 })
-				m.even = apportion.DefaultEven
+				m.even = apportion.DefaultEvenShare
 				change(m)
 				goodput, excess := m.run()
 				t.Logf("%.2f/s, worst excess %d", goodput, excess)
@@ -295,8 +295,8 @@
 		sum := 0.0
 		for i, own := range claims {
 			sum += apportion.Division{
-				Key: "endpoint", Limit: limit, Fleet: len(claims), Own: own, Even: apportion.DefaultEven,
-				Near: slices.Concat(claims[:i], claims[i+1:]),
+				Key: "endpoint", Limit: limit, Fleet: len(claims), Own: own, EvenShare: apportion.DefaultEvenShare,
+				Individual: slices.Concat(claims[:i], claims[i+1:]),
 			}.Share()
 		}
 		require.InEpsilon(t, limit, sum, 1e-9, "%v", claims)
--- a/decide/member/set.go
+++ b/decide/member/set.go
@@ -12,9 +12,9 @@
 
 // Set is a set of known entries. The zero Set is empty. It is not safe for concurrent use.
 type Set struct {
-	// Keep is how long an entry that is not on the platform's list stays known after it was
-	// last heard of.
-	Keep time.Duration
+	// Retention is how long an entry that is not on the platform's list stays known after it
+	// was last heard of.
+	Retention time.Duration
 
 	state  map[string]*state
 	all    []*wire.Peer // sorted by address; replaced, never modified
@@ -31,8 +31,9 @@
 	heard         time.Time
 }
 
-// Listed records the platform's list. An empty list carries no information and is ignored.
-func (s *Set) Listed(now time.Time, peers []*wire.Peer) {
+// ApplyHostList records the platform's list. An empty list carries no information and is
+// ignored.
+func (s *Set) ApplyHostList(now time.Time, peers []*wire.Peer) {
 	if len(peers) == 0 {
 		return
 	}
@@ -47,8 +48,8 @@
 	s.rebuild()
 }
 
-// Heard records a message from an entry itself.
-func (s *Set) Heard(now time.Time, p *wire.Peer) {
+// RecordDirect records a message from an entry itself.
+func (s *Set) RecordDirect(now time.Time, p *wire.Peer) {
 	k := s.add(p)
 	first := !k.heardDirectly
 	k.heardDirectly = true
@@ -58,10 +59,10 @@
 	}
 }
 
-// Told records an entry reported by another one. Shared leaves the entry out until a message
-// comes from the entry itself: otherwise two processes could keep a dead entry alive by
-// reporting it to each other.
-func (s *Set) Told(now time.Time, p *wire.Peer) {
+// RecordReported records an entry reported by another one. Shared leaves the entry out until a
+// message comes from the entry itself: otherwise two processes could keep a dead entry alive
+// by reporting it to each other.
+func (s *Set) RecordReported(now time.Time, p *wire.Peer) {
 	if _, old := s.state[p.GetAddress()]; old {
 		return
 	}
@@ -70,11 +71,11 @@
 }
 
 // Expire removes entries that are not on the list and have not been heard of for longer than
-// Keep.
+// Retention.
 func (s *Set) Expire(now time.Time) {
 	changed := false
 	for address, k := range s.state {
-		if !k.listed && now.Sub(k.heard) > s.Keep {
+		if !k.listed && now.Sub(k.heard) > s.Retention {
 			delete(s.state, address)
 			changed = true
 		}
--- a/decide/once/table.go
+++ b/decide/once/table.go
@@ -113,8 +113,8 @@
 	t.end(now, key, Finished, reply)
 }
 
-// Lose records that a started call ended with an unknown result.
-func (t *Table[R]) Lose(now time.Time, key Key, reply R) {
+// FinishLost records that a started call ended with an unknown result.
+func (t *Table[R]) FinishLost(now time.Time, key Key, reply R) {
 	t.end(now, key, Lost, reply)
 }
 
--- a/decide/outcome/report.go
+++ b/decide/outcome/report.go
@@ -48,7 +48,7 @@
 	StageLost     Code = "stage_lost"
 	RetryExceeded Code = "retry_budget"
 	CallerGone    Code = "caller_gone"
-	InDoubt       Code = "in_doubt"
+	Uncertain     Code = "in_doubt"
 	Platform      Code = "platform"
 	Conflict      Code = "conflict"
 	Duplicate     Code = "duplicate"
--- a/decide/story/times.go
+++ b/decide/requestlog/times.go
@@ -1,4 +1,4 @@
-package story
+package requestlog
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 	// returning caller. Line is the time in the queue. Chain is the time from leaving the queue to
 	// the first event, including abandoned attempts.
 	Before, Line, Chain time.Duration
-	// Pause is the longest time between two events.
-	Pause time.Duration
+	// MaxPause is the longest time between two events.
+	MaxPause time.Duration
 }
 
 // String returns the times as text, empty for the zero Times.
@@ -22,7 +22,7 @@
 		return ""
 	}
 	return fmt.Sprintf("%v with earlier tries, %v in line, %v from there to the first event; longest pause %v",
-		t.Before, t.Line, t.Chain, t.Pause)
+		t.Before, t.Line, t.Chain, t.MaxPause)
 }
 
 // timesOf returns the times in the last line about a request.
@@ -32,7 +32,7 @@
 		return Times{}
 	}
 	queued := l.millis("waited_ms")
-	t := Times{Line: queued, Chain: max(first-queued, 0), Pause: l.millis("pause_ms")}
+	t := Times{Line: queued, Chain: max(first-queued, 0), MaxPause: l.millis("pause_ms")}
 	if string(l.Fields["returned"]) == "true" {
 		t.Before = l.millis("under_route_ms")
 	}
--- a/role/agent/agent_test.go
+++ b/role/agent/agent_test.go
@@ -149,7 +149,7 @@
 	return len(o.tokens), len(o.troubles)
 }
 
-// firstStep returns the firstStep step of an attempt of a request whose only stage is this agent. The
+// firstStep returns the first step of an attempt of a request whose only stage is this agent. The
 // answer ends after one token.
 func (o *owner) firstStep(request string, attempt uint32) *wire.Step {
 	return &wire.Step{
--- a/role/announcer/announcer.go
+++ b/role/announcer/announcer.go
@@ -1,7 +1,7 @@
 // Package announcer publishes the address of a gateway in the store and learns the addresses of the
 // other gateways from there.
 //
-// Run an [Announcer] per gateway, and pass it each change of the store with Put and Gone.
+// Run an [Announcer] per gateway, and pass it each change of the store with Put and Removed.
 package announcer
 
 import (
@@ -126,7 +126,7 @@
 		a.Log.Error().Err(err).Msg("announcement not encoded")
 		return
 	}
-	revision, err := a.Store.Put(ctx, kv.Write{Key: a.key(), Value: value, If: own.Revision})
+	revision, err := a.Store.Put(ctx, kv.Write{Key: a.key(), Value: value, IfRevision: own.Revision})
 	if err != nil {
 		a.Log.Info().Err(err).Uint64("former_revision", own.Revision).Msg("this gateway is not announced")
 		return
@@ -138,7 +138,7 @@
 // that.
 func (a *Announcer) prune(ctx context.Context, now time.Time) {
 	silent := a.Peers.Silent(now, pruneAfter)
-	if len(silent) == 0 || 2*a.Peers.Heard() < len(silent) {
+	if len(silent) == 0 || 2*a.Peers.CountDirect() < len(silent) {
 		return // a gateway that hears few of the others is itself cut off
 	}
 	o := a.Overlay()
@@ -146,7 +146,7 @@
 	var names []string
 	a.mu.Lock()
 	for key, m := range silent {
-		if pair, there := a.known[key]; there && m.Name != a.Self.Name && o.Cleans(m) && len(ended) < maxRemoved {
+		if pair, there := a.known[key]; there && m.Name != a.Self.Name && o.CleansUpAfter(m) && len(ended) < maxRemoved {
 			ended, names = append(ended, pair), append(names, m.Name)
 		}
 	}
@@ -155,7 +155,7 @@
 		return
 	}
 	err := a.Store.Remove(ctx, ended)
-	a.Log.Info().Strs("gateways", names).Int("silent", len(silent)).Int("heard", a.Peers.Heard()).AnErr("error", err).
+	a.Log.Info().Strs("gateways", names).Int("silent", len(silent)).Int("heard", a.Peers.CountDirect()).AnErr("error", err).
 		Msg("announcements of gateways that have ended are removed")
 }
 
@@ -183,9 +183,9 @@
 	return true
 }
 
-// Gone handles the removal of a key at a revision, and reports whether it was the announcement of a
-// gateway.
-func (a *Announcer) Gone(key string, revision uint64) bool {
+// Removed handles the removal of a key at a revision, and reports whether it was the announcement
+// of a gateway.
+func (a *Announcer) Removed(key string, revision uint64) bool {
 	if !strings.HasPrefix(key, prefix) {
 		return false
 	}
--- a/role/announcer/announcer_test.go
+++ b/role/announcer/announcer_test.go
@@ -43,7 +43,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls["write"]++
-	if w.If != s.pairs[w.Key].Revision {
+	if w.IfRevision != s.pairs[w.Key].Revision {
 		return 0, &kv.ConflictError{Key: w.Key}
 	}
 	s.revision++
@@ -79,7 +79,7 @@
 	s.revision++
 	delete(s.pairs, key)
 	for _, a := range s.watchers {
-		a.Gone(key, s.revision)
+		a.Removed(key, s.revision)
 	}
 }
 
@@ -113,7 +113,7 @@
 	l := &incarnation{s: s, done: make(chan struct{}), Announcer: &announcer.Announcer{
 		Self: self, Store: s, Peers: table, Ready: &ready, Ending: &ending, Log: zerolog.Nop(),
 		Overlay: func() overlay.Overlay {
-			return overlay.Overlay{Self: self, Others: table.Members(name), FlatUpTo: 2}
+			return overlay.Overlay{Self: self, Others: table.Members(name), FlatFleetSize: 2}
 		},
 	}}
 	s.mu.Lock()
@@ -158,14 +158,14 @@
 	for _, l := range all {
 		for _, other := range all {
 			if other != l && other.Self.Hall == l.Self.Hall {
-				l.Peers.Hear(peers.Report{From: other.Self, Number: number}, l.Self, now)
+				l.Peers.AddReport(peers.Report{From: other.Self, Number: number}, l.Self, now)
 			}
 		}
 		for _, hall := range halls {
-			l.Peers.Hear(peers.Report{From: overlay.Member{Name: "speaker", Hall: hall}, Number: number, Members: 3}, l.Self, now)
+			l.Peers.AddReport(peers.Report{From: overlay.Member{Name: "speaker", Hall: hall}, Number: number, Members: 3}, l.Self, now)
 		}
 		l.Peers.Expire(now, 6, time.Second)
-		l.Peers.Miss(now, 8*time.Second)
+		l.Peers.MarkAbsent(now, 8*time.Second)
 	}
 }
 
--- a/role/entry/call.go
+++ b/role/entry/call.go
@@ -57,7 +57,7 @@
 // once runs a call that must run at most once.
 func (c *call) once(ctx context.Context) (router.Reply, error) {
 	runner := &runonce.Runner{
-		Claims: c.entry.claims, Agents: c, Seats: c, MayRetry: c.entry.mayRetry,
+		Claims: c.entry.claims, Agents: c, Reservations: c, MayRetry: c.entry.mayRetry,
 		Key: hex.EncodeToString(c.key), Digest: c.digest, Shared: c.request.Key != "",
 	}
 	reply, report := runner.Run(ctx)
@@ -94,11 +94,11 @@
 }
 
 var (
-	_ runonce.Agents = (*call)(nil)
-	_ runonce.Seats  = (*call)(nil)
+	_ runonce.Agents       = (*call)(nil)
+	_ runonce.Reservations = (*call)(nil)
 )
 
-// Enter implements runonce.Seats.
+// Enter implements runonce.Reservations.
 func (c *call) Enter(ctx context.Context, avoid map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
 	s, report := c.entry.gate.Enter(ctx, gate.Ticket[*reservation]{
 		Lane: c.request.Service, Team: c.request.Team, Weight: c.weight, Priority: c.decision.Priority, Cost: 1,
@@ -109,7 +109,7 @@
 	}
 	leave := func() {
 		s.release()
-		c.entry.gate.Poke()
+		c.entry.gate.AdmitWaiting()
 	}
 	at := s.stages[0].Endpoint
 	at.Epoch = s.stages[0].Usage.Epoch.Load()
--- a/role/entry/entry.go
+++ b/role/entry/entry.go
@@ -32,8 +32,8 @@
 	"github.com/grademill/grademill/role/drain"
 	"github.com/grademill/grademill/role/gate"
 	"github.com/grademill/grademill/state/claimlog"
-	"github.com/grademill/grademill/state/conflog"
-	"github.com/grademill/grademill/state/replica"
+	"github.com/grademill/grademill/state/configlog"
+	"github.com/grademill/grademill/state/configreplica"
 )
 
 // Entry is one entry process. Set the exported fields, then call Prepare and Run.
@@ -65,8 +65,8 @@
 	Expiry time.Duration
 	// Sync is the mean interval between requests to peers for changes.
 	Sync time.Duration
-	// ListEvery is the mean interval between reads of the list of hosts.
-	ListEvery time.Duration
+	// HostListInterval is the mean interval between reads of the list of hosts.
+	HostListInterval time.Duration
 	// Watchers is the number of entries per hall that watch the platform for changes.
 	Watchers int
 	// Retries bounds retries. The entry guards it with its own lock.
@@ -90,8 +90,8 @@
 	draining    atomic.Bool
 	links       *link.Set
 	client      rpc.Client
-	config      *replica.Config
-	changes     *conflog.Log
+	config      *configreplica.Config
+	changes     *configlog.Log
 	claims      *claimlog.Log
 	gate        gate.Gate[*reservation]
 	snapshot    atomic.Pointer[view.Snapshot]
@@ -135,18 +135,18 @@
 // Prepare initializes the entry. It must be called before Run and before callers are served.
 func (e *Entry) Prepare() {
 	e.incarnation = uint64(time.Now().UnixNano())
-	e.config = replica.New()
-	e.changes = conflog.New(e.Store, e.config)
-	e.claims = &claimlog.Log{Store: e.Store, Keep: e.ClaimKeep, Gather: claimBatchDelay, Timeout: claimTimeout}
+	e.config = configreplica.New()
+	e.changes = configlog.New(e.Store, e.config)
+	e.claims = &claimlog.Log{Store: e.Store, Retention: e.ClaimKeep, BatchDelay: claimBatchDelay, Timeout: claimTimeout}
 	e.gate.MaxQueue = e.MaxQueue
-	e.view = view.View{Home: e.Hall, Links: e.Links, Expiry: e.Expiry}
-	e.peers = member.Set{Keep: peerTTL}
+	e.view = view.View{HomeHall: e.Hall, Links: e.Links, Expiry: e.Expiry}
+	e.peers = member.Set{Retention: peerTTL}
 	e.revisions = make(map[string]uint64)
 	e.stalls = make(map[string]stalls)
 	e.teamLoad = make(map[string]int)
 	e.calls = make(map[string]map[uuid.UUID]context.CancelFunc)
 	e.flights = make(map[[requestBytes]byte]*flight)
-	e.links = &link.Set{Name: e.Name, Incarnation: e.incarnation, Down: e.peerDown, Log: e.Log}
+	e.links = &link.Set{Name: e.Name, Incarnation: e.incarnation, OnDisconnect: e.peerDown, Log: e.Log}
 	if e.Meter == nil {
 		e.Meter = meter.NewEntry()
 	}
@@ -187,12 +187,12 @@
 }
 
 // Changes returns the log to which operators' changes are written.
-func (e *Entry) Changes() *conflog.Log {
+func (e *Entry) Changes() *configlog.Log {
 	return e.changes
 }
 
 // Config returns the configuration in force at this entry.
-func (e *Entry) Config() *replica.Config {
+func (e *Entry) Config() *configreplica.Config {
 	return e.config
 }
 
--- a/role/entry/follow.go
+++ b/role/entry/sync.go
@@ -17,11 +17,11 @@
 	e.mu.Lock()
 	if self := r.GetSelf(); self.GetAddress() != "" {
 		e.revisions[self.GetName()] = r.GetRevision()
-		e.peers.Heard(time.Now(), self)
+		e.peers.RecordDirect(time.Now(), self)
 	}
 	entries := e.peers.Shared()
 	e.mu.Unlock()
-	reply, err := e.config.Since(r.GetRevision())
+	reply, err := e.config.UpdatesSince(r.GetRevision())
 	if err == nil && r.GetEntriesHash() != agent.EntriesHash(entries) {
 		reply.Entries = entries
 	}
@@ -88,10 +88,10 @@
 	}
 	e.mu.Lock()
 	for _, p := range reply.GetEntries() {
-		e.peers.Told(time.Now(), p)
+		e.peers.RecordReported(time.Now(), p)
 	}
 	e.mu.Unlock()
-	if err := e.config.Take(reply); err != nil {
+	if err := e.config.ApplyReply(reply); err != nil {
 		e.Log.Error().Err(err).Str("peer", address).Msg("changes from peer not applied")
 	}
 }
@@ -154,7 +154,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(e.ListEvery/2 + rand.N(e.ListEvery)):
+		case <-time.After(e.HostListInterval/2 + rand.N(e.HostListInterval)):
 		}
 	}
 }
@@ -172,8 +172,8 @@
 		}
 	}
 	e.mu.Lock()
-	e.peers.Listed(time.Now(), peers)
-	changed := e.view.Listed(leaving)
+	e.peers.ApplyHostList(time.Now(), peers)
+	changed := e.view.ApplyHostList(leaving)
 	e.mu.Unlock()
 	if changed {
 		e.rebuild()
--- a/role/gateway/suspect.go
+++ b/role/gateway/check.go
@@ -151,7 +151,7 @@
 // where a check that another gateway passed counts as much as its own. Of the gateways that use a
 // slow endpoint one checks it first, and the others only if no digest reports that check.
 func (g *Gateway) checkBehind(b *backend, now time.Time) {
-	stagger := time.Duration(g.gossip.Overlay().Rank(b.ID, b.Hall)) * checkStagger
+	stagger := time.Duration(g.gossip.Overlay().ItemRank(b.ID, b.Hall)) * checkStagger
 	if now.UnixNano()-b.use.othersCheckedAt.Load() < int64(min(checkedFresh+stagger, checkReportTime)) {
 		return
 	}
@@ -172,10 +172,10 @@
 		return true
 	}
 	begun := time.Now()
-	report, err := g.probes.AskSince(context.Background(), b.Address, since)
+	report, err := g.probes.QuerySince(context.Background(), b.Address, since)
 	now := time.Now()
 	switch {
-	case errors.Is(err, probe.ErrHeldUp):
+	case errors.Is(err, probe.ErrUncertain):
 		g.Meter.Check(checkStarved)
 		return false
 	case silent(err):
@@ -225,7 +225,7 @@
 // replacedBy reports whether a report comes from a later incarnation than the record names. That
 // incarnation holds nothing that the record says.
 func (b *backend) replacedBy(r runner.Report) bool {
-	return endpoint.Endpoint{Born: r.Born}.Follows(b.Endpoint)
+	return endpoint.Endpoint{Born: r.Born}.Supersedes(b.Endpoint)
 }
 
 // noteSilence records that a check, begun at the given time, got no answer from an endpoint, and
@@ -248,7 +248,7 @@
 // checkPlain records whether the host of an endpoint of a plain service refuses connections to it.
 // Its health check would wait for a slot, as requests do.
 func (g *Gateway) checkPlain(b *backend) {
-	ended := probe.Refuses(context.Background(), b.Address)
+	ended := probe.ConnectionRefused(context.Background(), b.Address)
 	if ended {
 		g.Meter.Check(checkSilent)
 	} else {
@@ -263,7 +263,7 @@
 // noteAnswer records that an endpoint has answered a question asked at begun.
 func (g *Gateway) noteAnswer(b *backend, begun, now time.Time) {
 	if b.use.noteAnswered(begun, now) {
-		g.Log.Info().Str("endpoint", b.ID).Str("address", b.Address).Int("witnesses", b.use.witnesses.Count(now)).
+		g.Log.Info().Str("endpoint", b.ID).Str("address", b.Address).Int("witnesses", b.use.reporters.Count(now)).
 			Msg("endpoint answers, against the word of others")
 	}
 }
@@ -279,10 +279,10 @@
 // once.
 func (g *Gateway) announceLoss(b *backend) {
 	b.use.watchers.checkSoon()
-	if b.use.down() && b.use.witnesses.Count(time.Now()) < enoughWitnesses {
-		g.gossip.TellLoss(b.ID)
+	if b.use.down() && b.use.reporters.Count(time.Now()) < enoughWitnesses {
+		g.gossip.ReportLoss(b.ID)
 	}
-	g.gossip.News()
+	g.gossip.SendSoon()
 }
 
 // noteStalls records which endpoints hold requests up.
@@ -338,7 +338,7 @@
 
 // isChecker reports whether this gateway is one of those that check an endpoint for the others.
 func (g *Gateway) isChecker(b *backend) bool {
-	return g.leading.Load() || g.gossip.Overlay().Rank(b.ID, b.Hall) < checkersEach
+	return g.leading.Load() || g.gossip.Overlay().ItemRank(b.ID, b.Hall) < checkersEach
 }
 
 // recheckDue reports whether an endpoint that is down is to be checked again. Its checkers check it
@@ -361,8 +361,8 @@
 
 // recheck asks an endpoint that is down for its report, and uses it again when it gives one.
 func (g *Gateway) recheck(ctx context.Context, b *backend) {
-	report, err := g.probes.Ask(ctx, b.Address)
-	if errors.Is(err, probe.ErrHeldUp) {
+	report, err := g.probes.Query(ctx, b.Address)
+	if errors.Is(err, probe.ErrUncertain) {
 		g.Meter.Check(checkStarved)
 		return
 	}
--- a/role/gateway/follow.go
+++ b/role/gateway/follow.go
@@ -28,12 +28,12 @@
 // follow keeps the gateway's view of the store current until ctx ends.
 func (g *Gateway) follow(ctx context.Context) {
 	m := mirror.Mirror{
-		Feed: &g.feed, Wait: g.policy().Wait(), Settle: min(changesSettle, g.policy().Wait()), Grace: lapseGrace,
-		Now: g.Clock, Refresh: g.refreshed, Put: g.put, Gone: g.gone, Partial: g.partial, Unhurried: g.fleetStarting, Unproven: g.unproven, Confirm: g.confirm,
+		Feed: &g.feed, WatchTimeout: g.policy().WatchTimeout(), MinInterval: min(changesSettle, g.policy().WatchTimeout()), Grace: lapseGrace,
+		Now: g.Clock, Refresh: g.refreshed, Put: g.put, Removed: g.gone, ConfirmPartial: g.partial, Unhurried: g.fleetStarting, Unproven: g.unproven, Confirm: g.confirm,
 		Log: g.Log,
-		Lost: func(err error) {
+		StoreFailed: func(err error) {
 			g.failing.Store(true)
-			g.gossip.News() // so that the others check whether they have lost it too
+			g.gossip.SendSoon() // so that the others check whether they have lost it too
 			g.Log.Warn().Err(err).Dur("proof_age_ms", g.proofAge()).Msg("the store does not answer")
 		},
 	}
@@ -42,7 +42,7 @@
 
 // put handles a key-value pair of the store.
 func (g *Gateway) put(p kv.Pair) {
-	if p.Key == g.Records.Catalog {
+	if p.Key == g.Decoders.Catalog {
 		g.configure(p)
 		return
 	}
@@ -63,15 +63,15 @@
 		g.Log.Info().Msg("nobody gives orders")
 		return
 	}
-	if g.announcer.Gone(key, revision) || g.quarantine.Gone(key, time.Now()) {
+	if g.announcer.Removed(key, revision) || g.quarantine.Removed(key, time.Now()) {
 		return
 	}
-	g.membership.Gone(key, revision)
+	g.membership.Removed(key, revision)
 }
 
 // configure puts a configuration in force, unless a later one already is.
 func (g *Gateway) configure(p kv.Pair) {
-	c, err := g.Records.DecodeCatalog(p.Value)
+	c, err := g.Decoders.DecodeCatalog(p.Value)
 	if err != nil {
 		g.Log.Error().Err(err).Uint64("revision", p.Revision).Msg("configuration not understood, the previous one stays in force")
 		return
@@ -123,8 +123,8 @@
 		g.currentSince.Store(time.Now().UnixNano())
 	}
 	g.proof.Store(max(g.proof.Load(), sent.UnixNano()))
-	if g.partition.Asked() {
-		g.gossip.News() // gateways that have lost the store wait for a proof from after that
+	if g.partition.PeersAsking() {
+		g.gossip.SendSoon() // gateways that have lost the store wait for a proof from after that
 	}
 	if !g.loaded.Swap(true) {
 		open, left := g.membership.Roster.Size()
@@ -145,5 +145,5 @@
 
 // fresh reports whether requests with a key may be served at the proof age of this request.
 func (g *Gateway) fresh(q *query) bool {
-	return g.policy().Serves(q.proofAge)
+	return g.policy().MayServe(q.proofAge)
 }
--- a/role/gateway/gateway.go
+++ b/role/gateway/gateway.go
@@ -30,15 +30,15 @@
 	"github.com/grademill/grademill/role/partition"
 	"github.com/grademill/grademill/role/quarantine"
 	"github.com/grademill/grademill/role/throttling"
-	"github.com/grademill/grademill/state/budgets"
-	"github.com/grademill/grademill/state/lines"
+	"github.com/grademill/grademill/state/inflight"
+	"github.com/grademill/grademill/state/linklimit"
 	"github.com/grademill/grademill/state/peers"
-	"github.com/grademill/grademill/state/turnstile"
+	"github.com/grademill/grademill/state/retrybudgets"
 	"github.com/grademill/grademill/state/watchcache"
 )
 
-// Records decodes the entries that other components write to the store.
-type Records struct {
+// Decoders decodes the entries that other components write to the store.
+type Decoders struct {
 	// Catalog is the key of the configuration.
 	Catalog string
 	// DecodeCatalog decodes the configuration.
@@ -75,9 +75,9 @@
 	// between gateways uses a bounded share of it.
 	LinkRate float64
 	// Store holds the configuration, the records of endpoints and the state on which gateways must
-	// agree. Records decodes the entries that others write there.
-	Store   Store
-	Records Records
+	// agree. Decoders decodes the entries that others write there.
+	Store    Store
+	Decoders Decoders
 	// Dialect translates headers, Runners gives orders to endpoints.
 	Dialect exchange.Dialect
 	Runners runner.Control
@@ -94,8 +94,8 @@
 	// Clock reads the clock that measures the age of freshness proofs: it continues while the host
 	// is suspended. Nil means the clock of the host.
 	Clock func() time.Time
-	// Silence returns why a question to an endpoint is given up, see probe.Prober.
-	Silence func(answered <-chan struct{}) error
+	// AwaitAnswer returns why a question to an endpoint is given up, see probe.Prober.
+	AwaitAnswer func(answered <-chan struct{}) error
 	// Meter counts the gateway's operations.
 	Meter Meter
 
@@ -117,7 +117,7 @@
 	// refreshed ends the pause between two requests for changes.
 	refreshed chan struct{}
 	// running counts the requests in flight; it is closed before the process ends.
-	running turnstile.Turnstile
+	running inflight.Counter
 	pool    upstream.Pool
 	peers   peers.Table
 	gossip  gossip.Gossip
@@ -128,10 +128,10 @@
 	// announcer keeps the announcement of this gateway in the store.
 	announcer announcer.Announcer
 	// feed is the source of the store's changes, cache holds those that others may ask for.
-	feed   watchcache.Feed
-	cache  watchcache.Cache
-	probes probe.Prober
-	lines  lines.Lines
+	feed      watchcache.Feed
+	cache     watchcache.Cache
+	probes    probe.Prober
+	linklimit linklimit.LinkLimiter
 
 	// leading is set while this gateway gives orders, hasLeaderKey while the store holds the key of
 	// any leader.
@@ -143,10 +143,10 @@
 	// of Unix time.
 	currentSince atomic.Int64
 	// queue is where requests of models wait for room.
-	queue admission.Line[*reservation]
+	queue admission.Queue[*reservation]
 
 	// retries is this gateway's share of the retry budget.
-	retries budgets.Budgets
+	retries retrybudgets.Budgets
 	// membership tracks the endpoints, members their usages.
 	membership membership.Membership
 	members    members
@@ -169,12 +169,12 @@
 	g.initMembership()
 	g.initPartition()
 	g.peers.Counter = g.counter
-	g.probes.Control, g.probes.Silence, g.probes.Reference = g.Runners, g.Silence, g.reference
+	g.probes.Control, g.probes.AwaitAnswer, g.probes.Reference = g.Runners, g.AwaitAnswer, g.reference
 	g.initGossip()
 	g.initThrottling()
 	g.initQuarantine()
 	g.initFeed()
-	g.pool.Opened = g.Meter.Connection
+	g.pool.OnDial = g.Meter.Connection
 	var group sync.WaitGroup
 	group.Go(func() { g.follow(ctx) })
 	group.Go(func() { g.serveChanges(ctx) })
@@ -203,7 +203,7 @@
 		Ready: &g.read, Ending: &g.draining, Log: g.Log,
 	}
 	g.gossip = gossip.Gossip{
-		Self: self, Incarnation: uint64(g.started.UnixNano()), Local: g, Peers: &g.peers, LinkRate: g.LinkRate, FlatUpTo: g.FlatFleet,
+		Self: self, Incarnation: uint64(g.started.UnixNano()), Local: g, Peers: &g.peers, LinkRate: g.LinkRate, FlatFleetSize: g.FlatFleet,
 		Sent: g.Meter.Digest, Log: g.Log,
 	}
 	g.gossip.Init()
--- a/role/gateway/intake.go
+++ b/role/gateway/intake.go
@@ -10,7 +10,7 @@
 
 // initThrottling sets up the handling of the limits and backoff periods that endpoints ask for.
 func (g *Gateway) initThrottling() {
-	g.throttling = throttling.Throttling{Name: g.Name, Peers: &g.peers, Every: g.gossip.Every, Left: g.handleLeaving, Log: g.Log}
+	g.throttling = throttling.Throttling{Name: g.Name, Peers: &g.peers, DigestInterval: g.gossip.DigestInterval, OnLeaving: g.handleLeaving, Log: g.Log}
 }
 
 // maxLoggedHeld bounds the endpoints that the log entry of a request names as not accepting it.
@@ -25,7 +25,7 @@
 	var first time.Time
 	for _, b := range held {
 		t := b.use.intake.Load()
-		if from, known := t.From(now); known && (q.next == nil || from.Before(first)) {
+		if from, known := t.NextSend(now); known && (q.next == nil || from.Before(first)) {
 			q.next, first = b, from
 		}
 		if q.searched || len(q.held) >= maxLoggedHeld {
--- a/role/gateway/isolation.go
+++ b/role/gateway/isolation.go
@@ -23,7 +23,7 @@
 // suspected reports whether endpoints have ended under a request so often that it is tried isolated
 // from all other such requests.
 func (g *Gateway) suspected(q *query) bool {
-	return g.quarantine.Suspected(q.print, time.Now())
+	return g.quarantine.MustIsolate(q.print, time.Now())
 }
 
 // isolationPlan returns at which endpoints of a service suspects are tried at now.
@@ -43,7 +43,7 @@
 			holders = append(holders, isolation.Holder{ID: b.ID, Hall: b.Hall, Layers: b.usable(now)})
 		}
 	}
-	endpoints = append(endpoints, isolation.Spared(holders)...)
+	endpoints = append(endpoints, isolation.Expendable(holders)...)
 	return isolation.New(list, slices.Sorted(slices.Values(endpoints)))
 }
 
@@ -57,11 +57,11 @@
 			return shortageQuarantine
 		}
 		now := time.Now()
-		if !g.quarantine.Suspected(q.print, now) {
+		if !g.quarantine.MustIsolate(q.print, now) {
 			return shortageNone
 		}
 		g.quarantine.Arrived(q.print, now)
-		if endpoint, free := g.isolationPlan(q.service.Name, now).Of(q.print); q.isolationWaited && free {
+		if endpoint, free := g.isolationPlan(q.service.Name, now).Endpoint(q.print); q.isolationWaited && free {
 			q.isolateAt(endpoint)
 			g.Log.Info().Str("request", q.ID).Stringer("print", q.print).Str("endpoint", endpoint).
 				Msg("request is tried apart from others under which endpoints have ended")
--- a/role/gateway/leader.go
+++ b/role/gateway/leader.go
@@ -11,7 +11,7 @@
 	"github.com/grademill/grademill/adapter/pause"
 	"github.com/grademill/grademill/decide/catalog"
 	"github.com/grademill/grademill/decide/layer"
-	"github.com/grademill/grademill/decide/spread"
+	"github.com/grademill/grademill/decide/placement"
 	"github.com/grademill/grademill/port/kv"
 )
 
@@ -98,7 +98,7 @@
 // has said that nobody holds it. It waits longer while another gateway reports that it holds the
 // right.
 func (g *Gateway) takeoverDelay(now time.Time) time.Duration {
-	rank := min(g.gossip.Overlay().Turn(leaderKey), maxTakeoverRank)
+	rank := min(g.gossip.Overlay().FleetRank(leaderKey), maxTakeoverRank)
 	if g.leaderHeard(now) {
 		rank = maxTakeoverRank
 	}
@@ -120,14 +120,14 @@
 func (o *leader) hold(ctx context.Context) {
 	o.g.Log.Info().Uint64("fence", o.fence).Msg("this gateway gives orders")
 	o.g.leading.Store(true)
-	o.g.gossip.News()
+	o.g.gossip.SendSoon()
 	defer o.g.leading.Store(false)
 	renewed := time.Now()
 	for ctx.Err() == nil && !o.g.draining.Load() {
 		if now := time.Now(); now.Sub(renewed) >= renewEvery {
 			if err := o.g.Store.KeepAlive(ctx, o.lease); err == nil {
 				renewed = now
-			} else if kv.Missing(err) || now.Sub(renewed) > leaderLease {
+			} else if kv.IsNotFound(err) || now.Sub(renewed) > leaderLease {
 				o.g.Log.Warn().Err(err).Uint64("fence", o.fence).Msg("the right to give orders is lost")
 				return
 			}
@@ -158,7 +158,7 @@
 		} else if now.Sub(o.changed) < stableTime {
 			continue
 		}
-		moves := (spread.Planner{}).Plan(service.Model, cards)
+		moves := (placement.Planner{}).Plan(service.Model, cards)
 		if !o.orders(ctx, f, moves, now) {
 			return false
 		}
@@ -167,18 +167,18 @@
 }
 
 // holdsAny reports whether any card holds layers.
-func holdsAny(cards []spread.Card) bool {
-	return slices.ContainsFunc(cards, func(c spread.Card) bool { return !c.Holds.Empty() })
+func holdsAny(cards []placement.Card) bool {
+	return slices.ContainsFunc(cards, func(c placement.Card) bool { return !c.AssignedLayers.Empty() })
 }
 
 // orders gives the orders of a plan, several concurrently. It returns false when another leader has
 // taken over.
-func (o *leader) orders(ctx context.Context, f *fleet, moves []spread.Move, now time.Time) bool {
+func (o *leader) orders(ctx context.Context, f *fleet, moves []placement.Move, now time.Time) bool {
 	for _, m := range moves {
 		f.byID[m.ID].use.setOrdered(m.Layers, now)
 	}
 	if len(moves) > 0 {
-		o.g.gossip.News() // if this process ends now, another leader continues
+		o.g.gossip.SendSoon() // if this process ends now, another leader continues
 	}
 	var group sync.WaitGroup
 	slots := make(chan struct{}, ordersAtOnce)
@@ -195,21 +195,21 @@
 }
 
 // cards lists the endpoints of a model in the form that the planner needs.
-func (o *leader) cards(m *catalog.Model, open []*backend, now time.Time) []spread.Card {
-	cards := make([]spread.Card, 0, len(open))
+func (o *leader) cards(m *catalog.Model, open []*backend, now time.Time) []placement.Card {
+	cards := make([]placement.Card, 0, len(open))
 	for _, b := range open {
 		if _, known := m.Cards[b.Card]; !known || o.g.hasEnded(b, now) {
 			continue
 		}
-		c := spread.Card{
-			ID: b.ID, Hall: b.Hall, Kind: b.Card, Holds: b.Layers,
+		c := placement.Card{
+			ID: b.ID, Hall: b.Hall, Kind: b.Card, AssignedLayers: b.Layers,
 			InUse: b.use.active.Load()+b.use.othersActive.Load() > 0,
 		}
 		if order := b.use.pendingOrder.Load(); order != nil {
 			if b.Layers == order.layers || now.After(order.until) {
 				b.use.pendingOrder.CompareAndSwap(order, nil)
 			} else {
-				c.Holds, c.Settled = order.layers, true
+				c.AssignedLayers, c.Fixed = order.layers, true
 			}
 		}
 		cards = append(cards, c)
--- a/role/gateway/members.go
+++ b/role/gateway/members.go
@@ -22,7 +22,7 @@
 func (g *Gateway) initMembership() {
 	g.members.usage = make(map[string]*usage)
 	g.membership = membership.Membership{
-		ID: g.Records.EndpointID, Decode: g.Records.DecodeEndpoint, Log: g.Log,
+		ID: g.Decoders.EndpointID, Decode: g.Decoders.DecodeEndpoint, Log: g.Log,
 		Dropped: g.dropped, Restarted: g.restarted, Overruled: g.rebuild,
 	}
 }
@@ -30,7 +30,7 @@
 // removeUsage removes the usage of an endpoint and the connections to it, and returns it as a
 // backend; nil when it was not used.
 func (g *Gateway) removeUsage(r roster.Record) *backend {
-	g.pool.Drop(r.Address)
+	g.pool.CloseIdle(r.Address)
 	g.probes.Forget(r.Address)
 	g.members.mu.Lock()
 	defer g.members.mu.Unlock()
@@ -61,7 +61,7 @@
 // handleLeaving records that an endpoint has announced that it leaves.
 func (g *Gateway) handleLeaving(endpoint string) {
 	if b := g.fleet.Load().byID[endpoint]; b != nil {
-		g.membership.Leaves(b.Endpoint)
+		g.membership.NoteDeparture(b.Endpoint)
 		g.rebuild()
 	}
 }
@@ -75,7 +75,7 @@
 		return
 	}
 	g.fleet.Store(newFleet(g.backends()))
-	g.Meter.Fleet(g.membership.Roster.Size())
+	g.Meter.Endpoints(g.membership.Roster.Size())
 }
 
 // backends returns the endpoints of the services that the configuration names. Endpoints of other
--- a/role/gateway/quarantine.go
+++ b/role/gateway/quarantine.go
@@ -13,14 +13,14 @@
 func (g *Gateway) initQuarantine() {
 	g.quarantine = quarantine.Quarantine{
 		Self: g.Name, Keepers: func(key string) []overlay.Member { return g.gossip.Overlay().Keepers(key) },
-		Tell: g.gossip.TellEnds, News: g.gossip.News, Over: g.incarnationOver, Store: g.Store, Count: g.Meter.Quarantine, Log: g.Log,
+		SendEnds: g.gossip.ReportEnds, SendSoon: g.gossip.SendSoon, HasEnded: g.incarnationOver, Store: g.Store, Count: g.Meter.Quarantine, Log: g.Log,
 	}
 	g.quarantine.Init()
 }
 
 // incarnation returns the incarnation that the record of the endpoint names.
-func (b *backend) incarnation() suspects.Life {
-	return suspects.Life{Endpoint: b.ID, Born: b.Born}
+func (b *backend) incarnation() suspects.Incarnation {
+	return suspects.Incarnation{Endpoint: b.ID, Born: b.Born}
 }
 
 // endedAfterSilence records at now that an endpoint that had been found silent has certainly ended:
@@ -56,7 +56,7 @@
 
 // incarnationOver reports whether an incarnation has certainly ended: its record is gone or names
 // another incarnation, or the endpoint does not answer. Otherwise the endpoint is checked.
-func (g *Gateway) incarnationOver(l suspects.Life) bool {
+func (g *Gateway) incarnationOver(l suspects.Incarnation) bool {
 	b := g.fleet.Load().byID[l.Endpoint]
 	if b == nil || b.Born != 0 && l.Born != 0 && b.Born != l.Born || b.use.presumedDead(time.Now()) || b.use.ended.Load() {
 		return true
@@ -69,7 +69,7 @@
 // quarantine; shortageNone when neither is the case.
 func (g *Gateway) withheld(q *query) shortage {
 	switch {
-	case ingress.Left(q.r.Context()):
+	case ingress.CallerDisconnected(q.r.Context()):
 		q.callerGone = true
 		return shortageCaller
 	case !g.maySend(q):
@@ -80,5 +80,5 @@
 
 // maySend reports whether a request may be sent to an endpoint: it is not in quarantine.
 func (g *Gateway) maySend(q *query) bool {
-	return g.quarantine.Left(q.print, time.Now()) == 0
+	return g.quarantine.Remaining(q.print, time.Now()) == 0
 }
--- a/role/gateway/watchdog.go
+++ b/role/gateway/watchdog.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/grademill/grademill/decide/reread"
+	"github.com/grademill/grademill/decide/failover"
 	"github.com/grademill/grademill/decide/timeout"
 	"github.com/grademill/grademill/port/runner"
 )
@@ -223,7 +223,7 @@
 	}
 	q := w.relay.q
 	wait, slack := moved.promptReadTime(q, old, lost.use.fleetFactor()), w.slack(time.Now())
-	if !reread.Leave(wait, 0, slack) {
+	if !failover.ShouldRestart(wait, 0, slack) {
 		return false
 	}
 	q.everReached.Store(true) // so that the new attempt is charged to the retry budget
@@ -231,9 +231,9 @@
 	if short != shortageNone {
 		return false
 	}
-	if !reread.Leave(wait, next.promptReadTime(q, nil, 1), slack) || !w.abandonFor(next) {
+	if !failover.ShouldRestart(wait, next.promptReadTime(q, nil, 1), slack) || !w.abandonFor(next) {
 		next.release()
-		w.relay.g.retries.Return(q.service.Name)
+		w.relay.g.retries.Refund(q.service.Name)
 		return false
 	}
 	w.relay.g.Log.Info().Str("request", q.ID).Str("lost", lost.Address).Dur("wait_ms", wait).
@@ -351,10 +351,10 @@
 		}
 		next.release()
 		var refused *runner.RefusedError
-		if !errors.As(err, &refused) || refused.Blamed == "" {
+		if !errors.As(err, &refused) || refused.RefusedBy == "" {
 			return false
 		}
-		address = refused.Blamed
+		address = refused.RefusedBy
 		q.avoid(address)
 	}
 	return false
--- a/role/gossip/gossip.go
+++ b/role/gossip/gossip.go
@@ -61,13 +61,14 @@
 type Local interface {
 	// Digest returns the gateway's usage without the fields that identify the sender. For the sums
 	// of a hall, others holds the shares of its other gateways, which are added.
-	Digest(now time.Time, others map[string]peers.Share) *wire.Digest
-	// Heard handles a digest of another gateway whose shares have been counted.
-	Heard(d *wire.Digest, now time.Time)
-	// Lost handles the report that an endpoint does not answer another gateway.
-	Lost(l *wire.Loss, now time.Time)
-	// Ended handles another gateway's report of endpoints that have ended while they ran requests.
-	Ended(e *wire.Ends, now time.Time)
+	Digest(now time.Time, others map[string]peers.Usage) *wire.Digest
+	// HandleDigest handles a digest of another gateway whose shares have been counted.
+	HandleDigest(d *wire.Digest, now time.Time)
+	// HandleLoss handles the report that an endpoint does not answer another gateway.
+	HandleLoss(l *wire.Loss, now time.Time)
+	// HandleEnds handles another gateway's report of endpoints that have ended while they ran
+	// requests.
+	HandleEnds(e *wire.Ends, now time.Time)
 	// Tick is called before each digest.
 	Tick(now time.Time)
 }
@@ -79,9 +80,9 @@
 	Incarnation uint64
 	Local       Local
 	Peers       *peers.Table
-	// FlatUpTo is the largest fleet in which each gateway sends its digest to all others, 0 for
-	// [overlay.FlatSize].
-	FlatUpTo int
+	// FlatFleetSize is the largest fleet in which each gateway sends its digest to all others, 0
+	// for [overlay.FlatSize].
+	FlatFleetSize int
 	// LinkRate is the bandwidth of the host's link in bytes per second, 0 if unknown. If it is
 	// unknown, digests are not limited.
 	LinkRate float64
@@ -120,7 +121,7 @@
 	return overlay.Overlay{Self: s.Self}
 }
 
-// Init prepares for News and Run.
+// Init prepares for SendSoon and Run.
 func (s *Gossip) Init() {
 	s.updates = make(chan struct{}, 1)
 	s.relayed = make(map[string]time.Time)
@@ -131,8 +132,8 @@
 	}
 }
 
-// News triggers an early digest.
-func (s *Gossip) News() {
+// SendSoon triggers an early digest.
+func (s *Gossip) SendSoon() {
 	select {
 	case s.updates <- struct{}{}:
 	default: // an early digest is pending already
@@ -164,25 +165,25 @@
 // round sends the digests that are due at now, and returns the time until the next round.
 func (s *Gossip) round(now time.Time) time.Duration {
 	s.Local.Tick(now)
-	s.Peers.Miss(now, max(missedDigestsAnnounced*s.Every(), minAbsence))
+	s.Peers.MarkAbsent(now, max(missedDigestsAnnounced*s.DigestInterval(), minAbsence))
 	d := s.digest(now, nil, 0)
-	d.EveryMillis = uint32(s.Every().Milliseconds())
-	o := overlay.Overlay{Self: s.Self, Others: s.Peers.Members(s.Self.Name), FlatUpTo: s.FlatUpTo}
-	o.Self.Cut = d.GetCut()
+	d.EveryMillis = uint32(s.DigestInterval().Milliseconds())
+	o := overlay.Overlay{Self: s.Self, Others: s.Peers.Members(s.Self.Name), FlatFleetSize: s.FlatFleetSize}
+	o.Self.StoreUnreachable = d.GetCut()
 	s.current.Store(&o)
-	interval := hallInterval * time.Duration(max(len(o.Audience()), overlay.FlatSize)) / overlay.FlatSize
+	interval := hallInterval * time.Duration(max(len(o.DigestPeers()), overlay.FlatSize)) / overlay.FlatSize
 	s.interval.Store(int64(interval))
 	s.Peers.Expire(now, missedDigests, hallInterval)
-	s.send(&wire.Packet{Digest: d}, o.Audience()...)
+	s.send(&wire.Packet{Digest: d}, o.DigestPeers()...)
 	settled := now.Sub(s.started) >= settleRounds*interval // otherwise no peer has been heard yet
-	if settled && o.Delegate() && !now.Before(s.sumsDue) {
+	if settled && o.IsDelegate() && !now.Before(s.sumsDue) {
 		s.sumsDue = now.Add(s.sendSums(o, now))
 	}
 	return interval
 }
 
-// Every returns the time between two digests to the gateways of the own hall.
-func (s *Gossip) Every() time.Duration {
+// DigestInterval returns the time between two digests to the gateways of the own hall.
+func (s *Gossip) DigestInterval() time.Duration {
 	return max(time.Duration(s.interval.Load()), hallInterval)
 }
 
@@ -204,7 +205,7 @@
 }
 
 // digest returns this gateway's own usage, or with members the sums of its hall.
-func (s *Gossip) digest(now time.Time, others map[string]peers.Share, members int) *wire.Digest {
+func (s *Gossip) digest(now time.Time, others map[string]peers.Usage, members int) *wire.Digest {
 	s.number++
 	d := s.Local.Digest(now, others)
 	d.Gateway, d.Incarnation, d.Number, d.Hall = s.Self.Name, s.Incarnation, s.number, s.Self.Hall
@@ -213,7 +214,7 @@
 	return d
 }
 
-// wait waits until the next round is due. After a call of News it waits for at most
+// wait waits until the next round is due. After a call of SendSoon it waits for at most
 // minUpdateInterval more.
 func (s *Gossip) wait(ctx context.Context, every time.Duration) {
 	begun := time.Now()
@@ -237,7 +238,7 @@
 func (s *Gossip) farewell() {
 	s.number++
 	last := &wire.Digest{Gateway: s.Self.Name, Incarnation: s.Incarnation, Number: s.number, Hall: s.Self.Hall}
-	s.send(&wire.Packet{Digest: last}, s.Overlay().Audience()...)
+	s.send(&wire.Packet{Digest: last}, s.Overlay().DigestPeers()...)
 }
 
 // send sends a datagram to some gateways, as far as the share of the link allows. A lost or dropped
@@ -286,22 +287,22 @@
 		}
 		switch {
 		case p.GetLoss() != nil:
-			s.Local.Lost(p.GetLoss(), time.Now())
+			s.Local.HandleLoss(p.GetLoss(), time.Now())
 		case p.GetEnds() != nil:
-			s.Local.Ended(p.GetEnds(), time.Now())
+			s.Local.HandleEnds(p.GetEnds(), time.Now())
 		default:
 			s.handleDigest(p.GetDigest(), from.String(), time.Now())
 		}
 	}
 }
 
-// TellLoss tells all other gateways immediately that an endpoint does not answer this one.
-func (s *Gossip) TellLoss(endpoint string) {
+// ReportLoss tells all other gateways immediately that an endpoint does not answer this one.
+func (s *Gossip) ReportLoss(endpoint string) {
 	s.send(&wire.Packet{Loss: &wire.Loss{Gateway: s.Self.Name, Endpoint: endpoint}}, s.Overlay().Others...)
 }
 
-// TellEnds tells some gateways of endpoints that have ended while they ran requests.
-func (s *Gossip) TellEnds(e *wire.Ends, to ...overlay.Member) {
+// ReportEnds tells some gateways of endpoints that have ended while they ran requests.
+func (s *Gossip) ReportEnds(e *wire.Ends, to ...overlay.Member) {
 	s.send(&wire.Packet{Ends: e}, to...)
 }
 
@@ -312,11 +313,11 @@
 	}
 	r := peers.Report{
 		From: overlay.Member{
-			Name: d.GetGateway(), Address: from, Hall: d.GetHall(), Cut: d.GetCut(), LinkMegabits: d.GetLinkMegabits(),
+			Name: d.GetGateway(), Address: from, Hall: d.GetHall(), StoreUnreachable: d.GetCut(), LinkMegabits: d.GetLinkMegabits(),
 		},
 		Incarnation: d.GetIncarnation(), Number: d.GetNumber(), Members: int(d.GetMembers()),
-		Every: millis(d.GetEveryMillis()), Partial: d.GetPartialOutages(),
-		Shares: make(map[string]peers.Share, len(d.GetUses())),
+		Interval: millis(d.GetEveryMillis()), Partial: d.GetPartialOutages(),
+		Shares: make(map[string]peers.Usage, len(d.GetUses())),
 	}
 	if d.GetRelayed() {
 		r.From.Address = d.GetAddress()
@@ -325,19 +326,19 @@
 		r.Proven = now.Add(-millis(d.GetProofAgeMillis()))
 	}
 	for _, use := range d.GetUses() {
-		r.Shares[use.GetEndpoint()] = peers.Share{
+		r.Shares[use.GetEndpoint()] = peers.Usage{
 			Active: int64(use.GetActive()), Entered: int64(use.GetEntered()), Held: int64(use.GetHeld()),
 			Reading: int64(use.GetReading()), Down: int64(use.GetDown()), Wanted: int64(use.GetWantedMillis()),
 		}
 	}
-	if !s.Peers.Hear(r, s.Self, now) {
+	if !s.Peers.AddReport(r, s.Self, now) {
 		return
 	}
-	s.Local.Heard(d, now)
+	s.Local.HandleDigest(d, now)
 	if r.Members > 0 && !d.GetRelayed() && now.Sub(s.relayed[r.From.Hall]) >= sumsInterval/2 {
 		s.relayed[r.From.Hall] = now
 		d.Relayed, d.Address = true, from
-		s.send(&wire.Packet{Digest: d}, s.Overlay().In(s.Self.Hall)...)
+		s.send(&wire.Packet{Digest: d}, s.Overlay().PeersIn(s.Self.Hall)...)
 	}
 }
 
--- a/role/gossip/gossip_test.go
+++ b/role/gossip/gossip_test.go
@@ -34,22 +34,22 @@
 }
 
 // Count implements peers.Counter.
-func (n *node) Count(s peers.Share) { n.others.Add(s.Active) }
+func (n *node) Count(s peers.Usage) { n.others.Add(s.Active) }
 
 // Digest implements gossip.Local.
-func (n *node) Digest(_ time.Time, others map[string]peers.Share) *wire.Digest {
+func (n *node) Digest(_ time.Time, others map[string]peers.Usage) *wire.Digest {
 	active := n.active.Load() + others["card"].Active
 	return &wire.Digest{Uses: []*wire.Use{{Endpoint: "card", Active: uint32(active)}}}
 }
 
-// Heard implements gossip.Local.
-func (n *node) Heard(*wire.Digest, time.Time) { n.heard.Add(1) }
+// HandleDigest implements gossip.Local.
+func (n *node) HandleDigest(*wire.Digest, time.Time) { n.heard.Add(1) }
 
-// Lost implements gossip.Local.
-func (n *node) Lost(*wire.Loss, time.Time) {}
+// HandleLoss implements gossip.Local.
+func (n *node) HandleLoss(*wire.Loss, time.Time) {}
 
-// Ended implements gossip.Local.
-func (n *node) Ended(*wire.Ends, time.Time) {}
+// HandleEnds implements gossip.Local.
+func (n *node) HandleEnds(*wire.Ends, time.Time) {}
 
 // Tick implements gossip.Local.
 func (n *node) Tick(time.Time) {}
@@ -122,7 +122,7 @@
 	all := start(t, 2, 3, 0)
 	waitForActive(t, all, 5)
 	all[0].active.Store(4)
-	all[0].News()
+	all[0].SendSoon()
 	waitForActive(t, all[1:], 8)
 }
 
@@ -135,7 +135,7 @@
 	var left []*node
 	ended := false
 	for _, n := range all {
-		if !ended && n.Overlay().Delegate() {
+		if !ended && n.Overlay().IsDelegate() {
 			n.stop()
 			ended = true
 			continue
--- a/role/gossip/scale_test.go
+++ b/role/gossip/scale_test.go
@@ -137,16 +137,16 @@
 }
 
 // Count implements peers.Counter.
-func (c counter) Count(s peers.Share) {
+func (c counter) Count(s peers.Usage) {
 	if s.Down > 0 {
 		c.h.learnedAt.CompareAndSwap(0, time.Now().UnixNano())
 	}
 }
 
 // Digest implements gossip.Local.
-func (h *simGateway) Digest(_ time.Time, others map[string]peers.Share) *wire.Digest {
+func (h *simGateway) Digest(_ time.Time, others map[string]peers.Usage) *wire.Digest {
 	d := new(wire.Digest)
-	add := func(endpoint string, s peers.Share) {
+	add := func(endpoint string, s peers.Usage) {
 		d.Uses = append(d.Uses, &wire.Use{
 			Endpoint: endpoint, Active: uint32(s.Active), Held: uint64(s.Held), Reading: uint32(s.Reading), Down: uint32(s.Down),
 		})
@@ -158,7 +158,7 @@
 		return d
 	}
 	for i, endpoint := range h.uses {
-		s := peers.Share{Active: 3, Held: 20000, Reading: 1}
+		s := peers.Usage{Active: 3, Held: 20000, Reading: 1}
 		if i == 0 && h.down.Load() {
 			s.Down = 1
 		}
@@ -167,14 +167,14 @@
 	return d
 }
 
-// Heard implements gossip.Local.
-func (h *simGateway) Heard(*wire.Digest, time.Time) { h.heard.Add(1) }
+// HandleDigest implements gossip.Local.
+func (h *simGateway) HandleDigest(*wire.Digest, time.Time) { h.heard.Add(1) }
 
-// Lost implements gossip.Local.
-func (h *simGateway) Lost(*wire.Loss, time.Time) {}
+// HandleLoss implements gossip.Local.
+func (h *simGateway) HandleLoss(*wire.Loss, time.Time) {}
 
-// Ended implements gossip.Local.
-func (h *simGateway) Ended(*wire.Ends, time.Time) {}
+// HandleEnds implements gossip.Local.
+func (h *simGateway) HandleEnds(*wire.Ends, time.Time) {}
 
 // Tick implements gossip.Local.
 func (h *simGateway) Tick(time.Time) {}
@@ -239,7 +239,7 @@
 		finder := hosts[0]
 		lost := time.Now()
 		finder.down.Store(true)
-		finder.News()
+		finder.SendSoon()
 		time.Sleep(measureTime)
 		for _, h := range hosts[1:] {
 			at := h.learnedAt.Load()
--- a/role/partition/detector.go
+++ b/role/partition/detector.go
@@ -71,7 +71,7 @@
 
 // Init initializes the detector; call it before any other method.
 func (d *Detector) Init() {
-	d.outages.Fresh = outageLifetime
+	d.outages.ReportLifetime = outageLifetime
 }
 
 // Alone reports whether this gateway alone has lost the store.
@@ -79,26 +79,26 @@
 	return d.aloneSince.Load() != 0
 }
 
-// Asked reports whether other gateways have reported an outage and wait for an answer whether this one has
-// the store.
-func (d *Detector) Asked() bool {
+// PeersAsking reports whether other gateways have reported an outage and wait for an answer whether this
+// one has the store.
+func (d *Detector) PeersAsking() bool {
 	return d.outages.Any(d.Clock())
 }
 
-// Hear processes an outage that another gateway reports, 0 for none. If the outage is new, Hear queries the
-// store immediately: the other gateway must know within a fraction of a second whether to send its callers
-// elsewhere.
-func (d *Detector) Hear(from string, number uint64, now time.Time) {
-	if d.outages.Hear(from, number, d.Clock()) && d.Loaded.Load() && !d.Failing.Load() {
+// HandleReport processes an outage that another gateway reports, 0 for none. If the outage is new,
+// HandleReport queries the store immediately: the other gateway must know within a fraction of a second
+// whether to send its callers elsewhere.
+func (d *Detector) HandleReport(from string, number uint64, now time.Time) {
+	if d.outages.HandleReport(from, number, d.Clock()) && d.Loaded.Load() && !d.Failing.Load() {
 		d.refresh(now)
 	}
 }
 
-// Tell adds to this gateway's digest its own outage and those that it knows to be partial.
-func (d *Detector) Tell(digest *gossip.Digest) {
+// AddToDigest adds to this gateway's digest its own outage and those that it knows to be partial.
+func (d *Detector) AddToDigest(digest *gossip.Digest) {
 	digest.Outage = d.outages.Own()
 	if digest.GetProven() {
-		digest.PartialOutages = d.outages.Partial(d.Proven(), d.Clock())
+		digest.PartialOutages = d.outages.NotOfStore(d.Proven(), d.Clock())
 	}
 }
 
@@ -129,16 +129,16 @@
 	line.Msg("whether this gateway alone has lost the store")
 }
 
-// Elsewhere returns the Retry-After delay for a caller that this gateway cannot serve for lack of the store
+// RetryAfter returns the Retry-After delay for a caller that this gateway cannot serve for lack of the store
 // but another one can: minimal if that one is in the same hall, and otherwise until the load balancer has
 // noticed. It returns false if no other gateway has the store.
-func (d *Detector) Elsewhere(now time.Time) (time.Duration, bool) {
+func (d *Detector) RetryAfter(now time.Time) (time.Duration, bool) {
 	since := d.aloneSince.Load()
 	if since == 0 {
 		return 0, false
 	}
 	for _, p := range d.Peers.Proofs() {
-		if p.From.Hall == d.Hall && d.Policy.Serves(now.Sub(p.At)) {
+		if p.From.Hall == d.Hall && d.Policy.MayServe(now.Sub(p.At)) {
 			return minRetryAfter, true
 		}
 	}
--- a/role/partition/detector_test.go
+++ b/role/partition/detector_test.go
@@ -54,7 +54,7 @@
 			d.Tick(begun)
 			require.False(t, d.Alone())
 			own := new(gossip.Digest)
-			d.Tell(own)
+			d.AddToDigest(own)
 			require.NotZero(t, own.GetOutage())
 			r := peers.Report{
 				From: overlay.Member{Name: "other", Hall: c.hall}, Incarnation: 1, Number: 1, Members: c.members,
@@ -64,7 +64,7 @@
 				r.Partial = []uint64{own.GetOutage()}
 			}
 			now := begun.Add(500 * time.Millisecond)
-			require.True(t, table.Hear(r, self, now))
+			require.True(t, table.AddReport(r, self, now))
 			d.Tick(now)
 			require.Equal(t, c.alone, d.Alone())
 			failing.Store(false)
@@ -90,7 +90,7 @@
 	reportedOutage := func(at time.Duration) uint64 {
 		d.Tick(begun.Add(at))
 		own := new(gossip.Digest)
-		d.Tell(own)
+		d.AddToDigest(own)
 		return own.GetOutage()
 	}
 	require.Zero(t, reportedOutage(0))
--- a/role/quarantine/quarantine.go
+++ b/role/quarantine/quarantine.go
@@ -66,12 +66,12 @@
 	Self string
 	// Keepers returns the gateways that count the ends of the request with the given key.
 	Keepers func(key string) []overlay.Member
-	// Tell sends a datagram to gateways, News causes a digest to be sent soon.
-	Tell func(e *wire.Ends, to ...overlay.Member)
-	News func()
-	// Over reports whether an incarnation of an endpoint has certainly ended. If it may still be
-	// running, Over has it checked.
-	Over func(suspects.Life) bool
+	// SendEnds sends a datagram to gateways, SendSoon causes a digest to be sent soon.
+	SendEnds func(e *wire.Ends, to ...overlay.Member)
+	SendSoon func()
+	// HasEnded reports whether an incarnation of an endpoint has certainly ended. If it may still be
+	// running, HasEnded has it checked.
+	HasEnded func(suspects.Incarnation) bool
 	// Store keeps the quarantined requests.
 	Store Store
 	// Count counts an event.
@@ -99,7 +99,7 @@
 
 // Init initializes the quarantine; call it before any other method.
 func (q *Quarantine) Init() {
-	q.known.Lasts, q.known.SuspectFrom = quarantineTime, isolateFrom
+	q.known.Retention, q.known.SuspectFrom = quarantineTime, isolateFrom
 	q.writes = make(chan fingerprint.Fingerprint, maxPendingWrites)
 	q.unconfirmed = make(map[fingerprint.Fingerprint]time.Time)
 	q.stored = make(map[fingerprint.Fingerprint]bool)
@@ -119,28 +119,28 @@
 	}
 }
 
-// Left returns how much longer a request is quarantined at now, 0 if it is not.
-func (q *Quarantine) Left(f fingerprint.Fingerprint, now time.Time) time.Duration {
-	return q.known.Barred(f, now)
+// Remaining returns how much longer a request is quarantined at now, 0 if it is not.
+func (q *Quarantine) Remaining(f fingerprint.Fingerprint, now time.Time) time.Duration {
+	return q.known.QuarantineLeft(f, now)
 }
 
 // Report notes that an incarnation of an endpoint has certainly ended under requests that it had just
 // begun to run, and notifies their keepers.
-func (q *Quarantine) Report(incarnation suspects.Life, begun []suspects.Begun, now time.Time) {
+func (q *Quarantine) Report(incarnation suspects.Incarnation, begun []suspects.Begun, now time.Time) {
 	for _, b := range begun {
 		q.Count(eventEnd)
 		if _, keeps := q.keeperRank(b.Print); keeps {
-			q.record(b.Print, suspects.End{Life: incarnation, Tried: b.Tried}, now)
+			q.record(b.Print, suspects.End{Incarnation: incarnation, Tried: b.Tried}, now)
 			continue
 		}
 		// Only the keepers hear when the request completes elsewhere, so this count expires.
-		q.known.Hear(b.Print, q.known.Ends(b.Print, now)+1, true, now, now.Add(reportLifetime))
+		q.known.AddReport(b.Print, q.known.Ends(b.Print, now)+1, true, now, now.Add(reportLifetime))
 	}
 	q.notifyKeepers(incarnation, begun)
 }
 
-// Suspected reports whether a request must be isolated from all other suspects.
-func (q *Quarantine) Suspected(f fingerprint.Fingerprint, now time.Time) bool {
+// MustIsolate reports whether a request must be isolated from all other suspects.
+func (q *Quarantine) MustIsolate(f fingerprint.Fingerprint, now time.Time) bool {
 	return q.known.Ends(f, now) >= isolateFrom
 }
 
@@ -154,15 +154,15 @@
 	return q.known.Recent(now)
 }
 
-// Survived notes that a request has completed.
-func (q *Quarantine) Survived(f fingerprint.Fingerprint, now time.Time) {
+// Completed notes that a request has completed.
+func (q *Quarantine) Completed(f fingerprint.Fingerprint, now time.Time) {
 	if q.known.Clear(f, now) {
-		q.notifyKeepers(suspects.Life{}, []suspects.Begun{{Print: f}})
+		q.notifyKeepers(suspects.Incarnation{}, []suspects.Begun{{Print: f}})
 	}
 }
 
 // notifyKeepers sends the ends to the keepers of the requests, and once more at the next Tick.
-func (q *Quarantine) notifyKeepers(incarnation suspects.Life, begun []suspects.Begun) {
+func (q *Quarantine) notifyKeepers(incarnation suspects.Incarnation, begun []suspects.Begun) {
 	to := make(map[string]message)
 	for _, b := range begun {
 		for _, m := range q.Keepers(b.Print.String()) {
@@ -180,22 +180,22 @@
 		}
 	}
 	for _, one := range to {
-		q.Tell(one.ends, one.to)
+		q.SendEnds(one.ends, one.to)
 		q.mu.Lock()
 		q.resends = append(q.resends, one)
 		q.mu.Unlock()
 	}
 }
 
-// Hear processes ends and completions that another gateway reports to the keepers.
-func (q *Quarantine) Hear(e *wire.Ends, now time.Time) {
+// HearEnds processes ends and completions that another gateway reports to the keepers.
+func (q *Quarantine) HearEnds(e *wire.Ends, now time.Time) {
 	for _, p := range e.GetPrints() {
 		if e.GetEndpoint() == "" {
 			q.known.Clear(fingerprint.Fingerprint(p), now)
 			continue
 		}
-		incarnation := suspects.Life{Endpoint: e.GetEndpoint(), Born: e.GetBorn()}
-		q.record(fingerprint.Fingerprint(p), suspects.End{Life: incarnation, Tried: slices.Contains(e.GetTried(), p)}, now)
+		incarnation := suspects.Incarnation{Endpoint: e.GetEndpoint(), Born: e.GetBorn()}
+		q.record(fingerprint.Fingerprint(p), suspects.End{Incarnation: incarnation, Tried: slices.Contains(e.GetTried(), p)}, now)
 	}
 }
 
@@ -206,7 +206,7 @@
 	q.resends = nil
 	q.mu.Unlock()
 	for _, one := range resends {
-		q.Tell(one.ends, one.to)
+		q.SendEnds(one.ends, one.to)
 	}
 	q.Review(now)
 }
@@ -232,7 +232,7 @@
 func (q *Quarantine) record(f fingerprint.Fingerprint, e suspects.End, now time.Time) {
 	ends := q.known.Note(f, e, now)
 	if len(ends) == reportFrom {
-		q.News() // the request is isolated once all gateways know
+		q.SendSoon() // the request is isolated once all gateways know
 	}
 	q.evaluate(f, ends, now)
 }
@@ -246,12 +246,12 @@
 // evaluate quarantines a request when enough incarnations have certainly ended under it. A report by a
 // gateway that is cut off proves nothing: to it all endpoints seem to have ended.
 func (q *Quarantine) evaluate(f fingerprint.Fingerprint, ends []suspects.End, now time.Time) {
-	if !enough(ends) || q.known.Barred(f, now) > 0 {
+	if !enough(ends) || q.known.QuarantineLeft(f, now) > 0 {
 		return
 	}
 	var confirmed []suspects.End
 	for _, e := range ends {
-		if q.Over(e.Life) {
+		if q.HasEnded(e.Incarnation) {
 			confirmed = append(confirmed, e)
 		}
 	}
@@ -264,12 +264,12 @@
 		return
 	}
 	delete(q.unconfirmed, f)
-	if !q.known.Bar(f, now, now.Add(quarantineTime)) {
+	if !q.known.SetQuarantine(f, now, now.Add(quarantineTime)) {
 		return
 	}
 	q.Count(eventBegun)
 	q.Log.Warn().Stringer("print", f).Strs("ended", formatEnds(confirmed)).Dur("lasts_ms", quarantineTime).Msg("request is quarantined")
-	q.News()
+	q.SendSoon()
 	q.queueWrite(f)
 }
 
@@ -286,24 +286,24 @@
 	return list
 }
 
-// Told returns the suspected and quarantined requests for a digest sent at now.
-func (q *Quarantine) Told(now time.Time) []*wire.Suspect {
+// Reports returns the suspected and quarantined requests for a digest sent at now.
+func (q *Quarantine) Reports(now time.Time) []*wire.Suspect {
 	list := q.known.List(reportFrom, maxReported, now)
 	reports := make([]*wire.Suspect, 0, len(list))
 	for _, s := range list {
 		reports = append(reports, &wire.Suspect{
-			Print: uint64(s.Print), Ends: uint32(s.Ends), LeftMillis: uint32(s.Left.Milliseconds()), Recent: s.Recent,
+			Print: uint64(s.Print), Ends: uint32(s.Ends), LeftMillis: uint32(s.QuarantineLeft.Milliseconds()), Recent: s.Recent,
 		})
 	}
 	return reports
 }
 
-// Adopt processes the suspected and quarantined requests in a digest of another gateway.
-func (q *Quarantine) Adopt(list []*wire.Suspect, from string, now time.Time) {
+// HearReports processes the suspected and quarantined requests in a digest of another gateway.
+func (q *Quarantine) HearReports(list []*wire.Suspect, from string, now time.Time) {
 	for _, s := range list {
 		f := fingerprint.Fingerprint(s.GetPrint())
 		if s.GetEnds() > 0 {
-			q.known.Hear(f, int(s.GetEnds()), s.GetRecent(), now, now.Add(reportLifetime))
+			q.known.AddReport(f, int(s.GetEnds()), s.GetRecent(), now, now.Add(reportLifetime))
 		}
 		left := min(time.Duration(s.GetLeftMillis())*time.Millisecond, quarantineTime)
 		if left >= minRemaining {
@@ -314,7 +314,7 @@
 
 // adopt quarantines a request on the report of another gateway or of the store.
 func (q *Quarantine) adopt(f fingerprint.Fingerprint, left time.Duration, from string, now time.Time) {
-	if !q.known.Bar(f, now, now.Add(left)) {
+	if !q.known.SetQuarantine(f, now, now.Add(left)) {
 		return
 	}
 	q.Count(eventReported)
@@ -334,5 +334,5 @@
 // wait waits for d, and reports whether the request must still be written to the store then.
 func (q *Quarantine) wait(ctx context.Context, f fingerprint.Fingerprint, d time.Duration) bool {
 	pause.For(ctx, d)
-	return ctx.Err() == nil && !q.isStored(f) && q.known.Barred(f, time.Now()) > 0
+	return ctx.Err() == nil && !q.isStored(f) && q.known.QuarantineLeft(f, time.Now()) > 0
 }
--- a/role/quarantine/store.go
+++ b/role/quarantine/store.go
@@ -68,7 +68,7 @@
 // put writes a request under a lease that lasts as long as the quarantine.
 func (q *Quarantine) put(ctx context.Context, f fingerprint.Fingerprint) error {
 	now := time.Now()
-	left := q.known.Barred(f, now)
+	left := q.known.QuarantineLeft(f, now)
 	text, err := proto.Marshal(&wire.Quarantine{
 		UntilUnixMillis: now.Add(left).UnixMilli(), Ends: uint32(q.known.Ends(f, now)),
 	})
@@ -106,9 +106,9 @@
 	return true
 }
 
-// Gone processes the removal of a key, and reports whether it was that of a quarantined request. A request
-// whose lease expired too early is written again.
-func (q *Quarantine) Gone(key string, now time.Time) bool {
+// Removed processes the removal of a key, and reports whether it was that of a quarantined request. A
+// request whose lease expired too early is written again.
+func (q *Quarantine) Removed(key string, now time.Time) bool {
 	f, ok := parseKey(key)
 	if !ok {
 		return strings.HasPrefix(key, keyPrefix)
@@ -116,7 +116,7 @@
 	q.mu.Lock()
 	delete(q.stored, f)
 	q.mu.Unlock()
-	if q.known.Barred(f, now) > minRemaining {
+	if q.known.QuarantineLeft(f, now) > minRemaining {
 		q.queueWrite(f)
 	}
 	return true
--- a/role/throttling/throttling.go
+++ b/role/throttling/throttling.go
@@ -34,27 +34,27 @@
 	Name string
 	// Peers holds the other gateways.
 	Peers *peers.Table
-	// Every returns the interval between digests.
-	Every func() time.Duration
-	// Left is called when an endpoint announces that it is leaving.
-	Left func(endpoint string)
-	Log  zerolog.Logger
+	// DigestInterval returns the interval between digests.
+	DigestInterval func() time.Duration
+	// OnLeaving is called when an endpoint announces that it is leaving.
+	OnLeaving func(endpoint string)
+	Log       zerolog.Logger
 }
 
-// Hear processes the limit, backoff period and departure that an endpoint sent with an answer.
-func (t *Throttling) Hear(endpoint string, i *intake.Intake, w throttle.Word) {
-	before, after := i.Hear(w)
-	if after.Unclear() && !before.Unclear() { // log once: the header may come with each answer
-		t.Log.Warn().Str("endpoint", endpoint).Str("header", w.Unclear).Msg("a header of an endpoint is not understood, and not heeded")
+// ApplyAnnouncement processes the limit, backoff period and departure that an endpoint sent with an answer.
+func (t *Throttling) ApplyAnnouncement(endpoint string, i *intake.Intake, w throttle.Report) {
+	before, after := i.ApplyAnnouncement(w)
+	if after.Unreadable() && !before.Unreadable() { // log once: the header may come with each answer
+		t.Log.Warn().Str("endpoint", endpoint).Str("header", w.Unreadable).Msg("a header of an endpoint is not understood, and not heeded")
 	}
-	if w.Rest > 0 {
-		t.Log.Info().Str("endpoint", endpoint).Dur("rest_ms", w.Rest).Time("until", after.Rest()).Msg("endpoint asks for rest")
+	if w.RetryAfter > 0 {
+		t.Log.Info().Str("endpoint", endpoint).Dur("rest_ms", w.RetryAfter).Time("until", after.RetryAfter()).Msg("endpoint asks for rest")
 	}
-	t.applyChange(endpoint, i, before, after, w.Heard)
+	t.applyChange(endpoint, i, before, after, w.Received)
 }
 
-// HearOthers processes an endpoint's limit as reported by another gateway, or by one that reports for a hall.
-func (t *Throttling) HearOthers(endpoint string, i *intake.Intake, use *gossip.Use, forHall bool, now time.Time) {
+// HearReport processes an endpoint's limit as reported by another gateway, or by one that reports for a hall.
+func (t *Throttling) HearReport(endpoint string, i *intake.Intake, use *gossip.Use, forHall bool, now time.Time) {
 	age := use.GetLimitAgeMillis()
 	if age == 0 {
 		return
@@ -63,17 +63,17 @@
 		Rate: float64(use.GetLimitMillis()) / limitUnit, At: now.Add(-time.Duration(age-1) * time.Millisecond),
 		Relays: maxRelays(forHall) + 1,
 	}
-	before, after := i.Told(limit, now)
+	before, after := i.ApplyReport(limit, now)
 	t.applyChange(endpoint, i, before, after, now)
 }
 
-// Tell adds to use what other gateways need to know of the endpoint's limit, and the sum of this gateway's
-// demand and the demand in others.
-func (t *Throttling) Tell(use *gossip.Use, i *intake.Intake, others peers.Share, forHall bool, now time.Time) {
+// AddToDigest adds to use what other gateways need to know of the endpoint's limit, and the sum of this
+// gateway's demand and the demand in others.
+func (t *Throttling) AddToDigest(use *gossip.Use, i *intake.Intake, others peers.Usage, forHall bool, now time.Time) {
 	known := i.Load()
 	use.WantedMillis = uint32(max(others.Wanted+int64(known.Demand(now)*peers.WantedUnit), 0))
 	limit := known.Limit()
-	if !known.Tells(now) || limit.Relays > maxRelays(forHall) {
+	if !known.ReportsLimit(now) || limit.Relays > maxRelays(forHall) {
 		return
 	}
 	use.LimitMillis = uint32(min(limit.Rate, maxReportedLimit) * limitUnit)
@@ -90,10 +90,10 @@
 	return 0
 }
 
-// Divide recomputes this gateway's share of an endpoint's limit if it has demand there: the demand of the
-// others changes with each digest.
-func (t *Throttling) Divide(endpoint string, i *intake.Intake, now time.Time) {
-	if i.Silent() {
+// UpdateShare recomputes this gateway's share of an endpoint's limit if it has demand there: the demand of
+// the others changes with each digest.
+func (t *Throttling) UpdateShare(endpoint string, i *intake.Intake, now time.Time) {
+	if i.NeverAnnounced() {
 		return // most endpoints state no limit
 	}
 	if i.Load().Demand(now) > 0 {
@@ -104,13 +104,13 @@
 // divide computes and returns this gateway's share of an endpoint's limit.
 func (t *Throttling) divide(endpoint string, i *intake.Intake, now time.Time) float64 {
 	known := i.Load()
-	near, far := t.Peers.Claims(endpoint)
-	own := known.Claim(now, propagationDigests*t.Every())
+	near, far := t.Peers.Demands(endpoint)
+	own := known.Claim(now, propagationDigests*t.DigestInterval())
 	share := apportion.Division{
-		Key: endpoint, Limit: known.Limit().Rate, Fleet: t.Peers.Size(), Near: near, Far: far, Even: apportion.DefaultEven,
+		Key: endpoint, Limit: known.Limit().Rate, Fleet: t.Peers.Size(), Individual: near, HallSums: far, EvenShare: apportion.DefaultEvenShare,
 		Own: apportion.Claim{Name: t.Name, Members: 1, Wanted: own},
 	}.Share()
-	i.Divide(share, now)
+	i.SetShare(share, now)
 	return share
 }
 
@@ -118,7 +118,7 @@
 func (t *Throttling) applyChange(endpoint string, i *intake.Intake, before, after throttle.Throttle, now time.Time) {
 	if after.Held(now) == throttle.Leaving && before.Held(now) != throttle.Leaving {
 		t.Log.Info().Str("endpoint", endpoint).Msg("endpoint says that it leaves")
-		t.Left(endpoint)
+		t.OnLeaving(endpoint)
 	}
 	from, to := before.Limit(), after.Limit()
 	if from == to {
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -49,8 +49,8 @@
 // Store is the stand-in for the key-value service and the list of hosts. The zero
 // Store is empty and ready to use.
 type Store struct {
-	// Lag is the delay before a change of the host list becomes visible.
-	Lag time.Duration
+	// HostsDelay is the delay before a change of the host list becomes visible.
+	HostsDelay time.Duration
 
 	mu        sync.Mutex
 	revision  uint64
@@ -90,13 +90,13 @@
 	return calls
 }
 
-// SetHosts replaces the list of hosts; the new list becomes visible after Lag.
+// SetHosts replaces the list of hosts; the new list becomes visible after HostsDelay.
 func (s *Store) SetHosts(list []hosts.Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.previous = s.visible()
 	s.hosts = list
-	s.visibleAt = time.Now().Add(s.Lag)
+	s.visibleAt = time.Now().Add(s.HostsDelay)
 }
 
 // Hosts returns the list of hosts that is visible now.
@@ -185,7 +185,7 @@
 	if len(w.Value) > MaxValue {
 		return 0, trace.LimitExceeded("value of %d bytes", len(w.Value))
 	}
-	if now := s.pairs[w.Key].Revision; now != w.If {
+	if now := s.pairs[w.Key].Revision; now != w.IfRevision {
 		return 0, trace.Wrap(&kv.ConflictError{Key: w.Key, Revision: now})
 	}
 	if w.Lease != "" {
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -21,14 +21,14 @@
 
 // Service is the stand-in for a plain service. Set the exported fields before the first use.
 type Service struct {
-	// Took is the duration of a call. A call counts as run when it starts.
-	Took time.Duration
+	// CallDuration is the duration of a call. A call counts as run when it starts.
+	CallDuration time.Duration
 
 	mu   sync.Mutex
 	runs []Run
 }
 
-// ServeHTTP records a call and, after Took, answers with its number and body.
+// ServeHTTP records a call and, after CallDuration, answers with its number and body.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -40,7 +40,7 @@
 	s.runs = append(s.runs, run)
 	number := len(s.runs)
 	s.mu.Unlock()
-	time.Sleep(s.Took)
+	time.Sleep(s.CallDuration)
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = fmt.Fprintf(w, `{"run":%d,"echo":%q}`, number, body)
 }
--- a/state/intake/intake.go
+++ b/state/intake/intake.go
@@ -28,15 +28,15 @@
 	return throttle.Throttle{}
 }
 
-// Hear applies the announcement in an answer of the endpoint, and returns the throttle before and
-// after.
-func (i *Intake) Hear(w throttle.Word) (before, after throttle.Throttle) {
-	empty := throttle.Word{Sent: w.Sent, Heard: w.Heard}
+// ApplyAnnouncement applies the announcement in an answer of the endpoint, and returns the
+// throttle before and after.
+func (i *Intake) ApplyAnnouncement(w throttle.Report) (before, after throttle.Throttle) {
+	empty := throttle.Report{Sent: w.Sent, Received: w.Received}
 	if i.current.Load() == nil && w == empty {
 		return before, after // nearly every answer announces nothing
 	}
 	jitter := rand.Float64()
-	return i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithWord(w, jitter) })
+	return i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithReport(w, jitter) })
 }
 
 // update replaces the throttle by the result of change, and returns both. It may call change
@@ -55,8 +55,9 @@
 	}
 }
 
-// Told applies a limit reported by another gateway, and returns the throttle before and after.
-func (i *Intake) Told(l throttle.Limit, now time.Time) (before, after throttle.Throttle) {
+// ApplyReport applies a limit reported by another gateway, and returns the throttle before and
+// after.
+func (i *Intake) ApplyReport(l throttle.Limit, now time.Time) (before, after throttle.Throttle) {
 	if i.current.Load() == nil && !l.Named() {
 		return before, after
 	}
@@ -64,41 +65,42 @@
 	return i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithLimit(l, now, jitter) })
 }
 
-// Divide sets this gateway's share of the limit.
-func (i *Intake) Divide(share float64, now time.Time) {
+// SetShare sets this gateway's share of the limit.
+func (i *Intake) SetShare(share float64, now time.Time) {
 	i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithShare(share, now) })
 }
 
-// Want counts a request that would begin at the endpoint, if the endpoint announces a limit.
-func (i *Intake) Want(now time.Time) {
+// CountDemand counts a request that would begin at the endpoint, if the endpoint announces a
+// limit.
+func (i *Intake) CountDemand(now time.Time) {
 	if i.Load().Named() {
 		i.update(func(t throttle.Throttle) throttle.Throttle { return t.WithDemand(now) })
 	}
 }
 
 // Take lets a request pass at now and counts it, or returns why it may not pass.
-func (i *Intake) Take(now time.Time) throttle.Hold {
+func (i *Intake) Take(now time.Time) throttle.HoldReason {
 	for {
 		old := i.current.Load()
 		if old == nil {
-			return throttle.Free
+			return throttle.NotHeld
 		}
-		if held := old.Held(now); held != throttle.Free {
+		if held := old.Held(now); held != throttle.NotHeld {
 			return held
 		}
 		next := old.WithRequest(now)
 		if i.current.CompareAndSwap(old, &next) {
-			return throttle.Free
+			return throttle.NotHeld
 		}
 	}
 }
 
-// Held returns why no request may pass at now, Free if one may.
-func (i *Intake) Held(now time.Time) throttle.Hold {
+// Held returns why no request may pass at now, NotHeld if one may.
+func (i *Intake) Held(now time.Time) throttle.HoldReason {
 	if t := i.current.Load(); t != nil {
 		return t.Held(now)
 	}
-	return throttle.Free
+	return throttle.NotHeld
 }
 
 // Wait counts a request as waiting for the endpoint until leave is called. It returns the time
@@ -108,20 +110,20 @@
 	ahead := i.waiting.Add(1) - 1
 	leave = func() { i.waiting.Add(-1) }
 	t := i.Load()
-	from, known = t.From(now)
+	from, known = t.NextSend(now)
 	if share := t.Share(); t.Named() && share > 0 {
 		from = from.Add(time.Duration(float64(ahead) / share * float64(time.Second)))
 	}
 	return from, known, leave
 }
 
-// Tells reports whether the known limit is to be reported to other gateways at now.
-func (i *Intake) Tells(now time.Time) bool {
+// ReportsLimit reports whether the known limit is to be reported to other gateways at now.
+func (i *Intake) ReportsLimit(now time.Time) bool {
 	t := i.current.Load()
-	return t != nil && t.Tells(now)
+	return t != nil && t.ReportsLimit(now)
 }
 
-// Silent reports whether the endpoint has never announced anything.
-func (i *Intake) Silent() bool {
+// NeverAnnounced reports whether the endpoint has never announced anything.
+func (i *Intake) NeverAnnounced() bool {
 	return i.current.Load() == nil
 }
--- a/state/lines/lines.go
+++ b/state/linklimit/limiter.go
@@ -1,5 +1,5 @@
-// Package lines bounds the traffic of one gateway over the network links between halls.
-package lines
+// Package linklimit bounds the traffic of one gateway over the network links between halls.
+package linklimit
 
 import (
 	"time"
@@ -20,19 +20,20 @@
 	burstTime = 4 * time.Second
 )
 
-// Lines bounds the traffic of this gateway across halls. The zero Lines is ready to use.
-type Lines struct {
+// LinkLimiter bounds the traffic of this gateway across halls. The zero LinkLimiter is ready to
+// use.
+type LinkLimiter struct {
 	limiter rate.Limiter
 }
 
 // Allow takes the capacity for sending the given number of tokens across halls from this gateway's
 // share of the links, and reports whether enough was left. It always reports true for a model
 // without a link rate or an amount of data per token.
-func (l *Lines) Allow(m *catalog.Model, tokens, gateways int) bool {
-	if m.LinkRate <= 0 || m.Handed <= 0 {
+func (l *LinkLimiter) Allow(m *catalog.Model, tokens, gateways int) bool {
+	if m.LinkRate <= 0 || m.TransferPerToken <= 0 {
 		return true
 	}
-	perSecond := linkShare * m.LinkRate / m.Handed / crossingsPerChain / float64(gateways)
+	perSecond := linkShare * m.LinkRate / m.TransferPerToken / crossingsPerChain / float64(gateways)
 	if limit := rate.Limit(perSecond); limit != l.limiter.Limit() {
 		l.limiter.SetLimit(limit)
 		l.limiter.SetBurst(int(perSecond * burstTime.Seconds()))
--- a/state/budgets/budgets.go
+++ b/state/retrybudgets/budgets.go
@@ -1,6 +1,6 @@
-// Package budgets limits the retries of this process by service, to its share of the
+// Package retrybudgets limits the retries of this process by service, to its share of the
 // retry budgets of the whole fleet.
-package budgets
+package retrybudgets
 
 import (
 	"sync"
@@ -29,11 +29,11 @@
 	services map[string]*retry.Budget
 }
 
-// First counts the first attempt of a request for a service at now.
-func (b *Budgets) First(service string, now time.Time) {
+// CountFirstAttempt counts the first attempt of a request for a service at now.
+func (b *Budgets) CountFirstAttempt(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budgetOf(service).First(now)
+	b.budgetOf(service).CountFirstAttempt(now)
 }
 
 // Allow takes one retry from this process's share of a service's budget at now, and
@@ -44,11 +44,11 @@
 	return b.budgetOf(service).Allow(now)
 }
 
-// Return gives back a retry that was allowed but not used.
-func (b *Budgets) Return(service string) {
+// Refund gives back a retry that was allowed but not used.
+func (b *Budgets) Refund(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budgetOf(service).Return()
+	b.budgetOf(service).Refund()
 }
 
 // budgetOf returns the budget of a service, with the reserve for the present number of
--- a/state/suspects/suspects.go
+++ b/state/suspects/suspects.go
@@ -1,8 +1,9 @@
 // Package suspects records the requests during which endpoints have ended, and quarantines
 // requests.
 //
-// Note and Hear record ends, by this gateway and as reported by others. Bar quarantines a request:
-// it is not sent to endpoints until a given time. Clear removes a request that has completed.
+// Note and AddReport record ends, by this gateway and as reported by others. SetQuarantine
+// quarantines a request: it is not sent to endpoints until a given time. Clear removes a request
+// that has completed.
 package suspects
 
 import (
@@ -28,15 +29,15 @@
 	maxEnds = 8
 )
 
-// Life is one incarnation of an endpoint, which may start again under the same ID.
-type Life struct {
+// Incarnation is one incarnation of an endpoint, which may start again under the same ID.
+type Incarnation struct {
 	Endpoint string
 	// Born is the start time that the endpoint reports, 0 if it reports none.
 	Born int64
 }
 
 // String returns the incarnation as written in the logs.
-func (l Life) String() string {
+func (l Incarnation) String() string {
 	if l.Born == 0 {
 		return l.Endpoint
 	}
@@ -53,7 +54,7 @@
 
 // End is the end of an incarnation during a request.
 type End struct {
-	Life
+	Incarnation
 	// Tried is the value from Begun.
 	Tried bool
 }
@@ -63,8 +64,8 @@
 	Print fingerprint.Fingerprint
 	// Ends is the number of incarnations that have ended during it.
 	Ends int
-	// Left is the time left of its quarantine, 0 if it is not quarantined.
-	Left time.Duration
+	// QuarantineLeft is the time left of its quarantine, 0 if it is not quarantined.
+	QuarantineLeft time.Duration
 	// Recent is set while the last end is recent.
 	Recent bool
 }
@@ -72,8 +73,8 @@
 // Suspects holds the requests during which endpoints have ended. Set the exported fields before
 // the first use.
 type Suspects struct {
-	// Lasts is how long ends count after the last one during the same request.
-	Lasts time.Duration
+	// Retention is how long ends count after the last one during the same request.
+	Retention time.Duration
 	// SuspectFrom is the number of ends that makes a request suspect.
 	SuspectFrom int
 
@@ -107,12 +108,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.record(f, now)
-	if now.Sub(r.at) > s.Lasts {
+	if now.Sub(r.at) > s.Retention {
 		r.ends = nil
 	}
 	r.at = now
 	r.recentUntil = now.Add(recentTime)
-	known := slices.IndexFunc(r.ends, func(o End) bool { return o.Life == e.Life })
+	known := slices.IndexFunc(r.ends, func(o End) bool { return o.Incarnation == e.Incarnation })
 	switch {
 	case known >= 0:
 		r.ends[known].Tried = r.ends[known].Tried || e.Tried
@@ -136,15 +137,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.records[f]
-	if r == nil || now.Sub(r.at) > s.Lasts {
+	if r == nil || now.Sub(r.at) > s.Retention {
 		return nil
 	}
 	return slices.Clone(r.ends)
 }
 
-// Hear records a report of another gateway: the number of ends during a request, valid until a
-// given time, and whether one of them is recent.
-func (s *Suspects) Hear(f fingerprint.Fingerprint, ends int, recent bool, now, until time.Time) {
+// AddReport records a report of another gateway: the number of ends during a request, valid until
+// a given time, and whether one of them is recent.
+func (s *Suspects) AddReport(f fingerprint.Fingerprint, ends int, recent bool, now, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.record(f, now)
@@ -179,8 +180,9 @@
 	return 0
 }
 
-// Bar quarantines a request until a given time, and reports whether this started a new quarantine.
-func (s *Suspects) Bar(f fingerprint.Fingerprint, now, until time.Time) bool {
+// SetQuarantine quarantines a request until a given time, and reports whether this started a new
+// quarantine.
+func (s *Suspects) SetQuarantine(f fingerprint.Fingerprint, now, until time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.record(f, now)
@@ -191,8 +193,8 @@
 	return true
 }
 
-// Barred returns the remaining quarantine of a request at now, 0 if there is none.
-func (s *Suspects) Barred(f fingerprint.Fingerprint, now time.Time) time.Duration {
+// QuarantineLeft returns the remaining quarantine of a request at now, 0 if there is none.
+func (s *Suspects) QuarantineLeft(f fingerprint.Fingerprint, now time.Time) time.Duration {
 	if s.size.Load() == 0 {
 		return 0
 	}
@@ -231,16 +233,16 @@
 	defer s.mu.Unlock()
 	var list []Suspect
 	for f, r := range s.records {
-		one := Suspect{Print: f, Left: max(r.quarantinedUntil.Sub(now), 0), Recent: now.Sub(r.at) < recentTime}
-		if now.Sub(r.at) <= s.Lasts {
+		one := Suspect{Print: f, QuarantineLeft: max(r.quarantinedUntil.Sub(now), 0), Recent: now.Sub(r.at) < recentTime}
+		if now.Sub(r.at) <= s.Retention {
 			one.Ends = len(r.ends) // own count only: gateways that echo each other's counts would keep them alive forever
 		}
-		if one.Left > 0 || one.Ends >= minEnds {
+		if one.QuarantineLeft > 0 || one.Ends >= minEnds {
 			list = append(list, one)
 		}
 	}
 	slices.SortFunc(list, func(a, b Suspect) int {
-		return cmp.Or(cmp.Compare(b.Left, a.Left), cmp.Compare(b.Ends, a.Ends), cmp.Compare(a.Print, b.Print))
+		return cmp.Or(cmp.Compare(b.QuarantineLeft, a.QuarantineLeft), cmp.Compare(b.Ends, a.Ends), cmp.Compare(a.Print, b.Print))
 	})
 	return list[:min(len(list), limit)]
 }
@@ -248,7 +250,7 @@
 // ends returns the number of ends of a record; s.mu is held.
 func (s *Suspects) ends(r *record, now time.Time) int {
 	n := 0
-	if now.Sub(r.at) <= s.Lasts {
+	if now.Sub(r.at) <= s.Retention {
 		n = len(r.ends)
 	}
 	if now.Before(r.reportedUntil) {
--- a/test/proof/config_test.go
+++ b/test/histories/config_test.go
@@ -1,4 +1,4 @@
-package proof_test
+package histories_test
 
 import (
 	"context"
@@ -17,9 +17,9 @@
 	"github.com/grademill/grademill/decide/config"
 	"github.com/grademill/grademill/port/kv"
 	"github.com/grademill/grademill/standin/platform"
-	"github.com/grademill/grademill/state/conflog"
+	"github.com/grademill/grademill/state/configlog"
+	"github.com/grademill/grademill/state/configreplica"
 	"github.com/grademill/grademill/state/headlog"
-	"github.com/grademill/grademill/state/replica"
 )
 
 const (
@@ -82,7 +82,7 @@
 	}
 	if f.unconditional {
 		if pair, err := f.Store.Get(ctx, w.Key); err == nil {
-			w.If = pair.Revision
+			w.IfRevision = pair.Revision
 		}
 	}
 	// A write in flight takes effect whether or not its sender still waits.
@@ -130,7 +130,7 @@
 }
 
 // operate makes changes one after another, each conditional on the revision that the operator last saw.
-func operate(r *configRun, mu *sync.Mutex, who int, log *conflog.Log) {
+func operate(r *configRun, mu *sync.Mutex, who int, log *configlog.Log) {
 	for i := range configChanges {
 		current := log.Replica.Current().State
 		in := change{match: current.ObjectRevision(config.KindPolicy, objectName), id: fmt.Sprintf("%d-%d", who, i)}
@@ -152,7 +152,7 @@
 			ClientId: who, Input: in, Call: call, Output: out, Return: time.Now().UnixNano(),
 		})
 		mu.Unlock()
-		_ = log.Pull(context.Background())
+		_ = log.Refresh(context.Background())
 	}
 }
 
@@ -165,10 +165,10 @@
 		defer cancel()
 		var mu sync.Mutex
 		var operators, watchers sync.WaitGroup
-		var logs []*conflog.Log
+		var logs []*configlog.Log
 		r.seen = make([][]uint64, configOperators)
 		for who := range configOperators {
-			log := conflog.New(store, replica.New())
+			log := configlog.New(store, configreplica.New())
 			logs = append(logs, log)
 			operators.Go(func() { operate(r, &mu, who, log) })
 			watchers.Go(func() {
@@ -184,7 +184,7 @@
 		store.mu.Unlock()
 		time.Sleep(time.Minute) // writes in flight arrive
 		for _, log := range logs {
-			_ = log.Pull(ctx)
+			_ = log.Refresh(ctx)
 			r.final = append(r.final, log.Replica.Current().State)
 		}
 		last := headlog.Log{Store: store, Key: "config/head"}
--- a/test/proof/once_test.go
+++ b/test/histories/once_test.go
@@ -1,4 +1,4 @@
-package proof_test
+package histories_test
 
 import (
 	"context"
@@ -90,7 +90,7 @@
 
 func (lostCall) Error() string { return "no answer" }
 
-// Enter implements runonce.Seats.
+// Enter implements runonce.Reservations.
 func (s *cluster) Enter(context.Context, map[string]bool) (fleet.Endpoint, func(), *outcome.Report) {
 	return s.agent().endpoint(), func() {}, nil
 }
@@ -226,7 +226,7 @@
 			outcomes[keyName(key)] = new(tally)
 		}
 		for range onceEntries {
-			log := &claimlog.Log{Store: store, Keep: time.Minute, Gather: time.Millisecond, Timeout: time.Second}
+			log := &claimlog.Log{Store: store, Retention: time.Minute, BatchDelay: time.Millisecond, Timeout: time.Second}
 			var claims runonce.Claimer = log
 			if s.withoutClaims {
 				claims = s
@@ -237,7 +237,7 @@
 					for range onceAttempts {
 						s.pause()
 						r := &runonce.Runner{
-							Claims: claims, Agents: s, Seats: s, MayRetry: func() bool { return !s.chance(4) },
+							Claims: claims, Agents: s, Reservations: s, MayRetry: func() bool { return !s.chance(4) },
 							Key: name, Digest: "d", Shared: true,
 						}
 						_, report := r.Run(context.Background())
