--- a/role/gateway/attempt.go
+++ b/role/gateway/attempt.go
@@ -26,8 +26,8 @@
 	verdictEnded
 )
 
-// attempt is one send of a request.
-type attempt struct {
+// sendResult is the result of one send of a request.
+type sendResult struct {
 	answer *upstream.Answer
 	reply  exchange.ReplyHeaders
 	verdict
@@ -43,9 +43,10 @@
 	maxConnIdleNonRepeatable = 200 * time.Millisecond
 )
 
-// send sends a request to a backend and waits for the head of the answer. The caller closes the
-// answer of the attempt, if any.
-func (g *Gateway) send(ctx context.Context, q *query, b *backend, c chain.Chain, after string) attempt {
+// send sends a request to a backend and waits for the head of the answer. c is the chain, nil for a
+// plain service; after is the ID of the last event that the caller of the request has. The caller
+// of send closes the answer of the result, if any.
+func (g *Gateway) send(ctx context.Context, q *query, b *backend, c chain.Chain, after string) sendResult {
 	q.sends++
 	q.last, q.sentAt = b, time.Now()
 	q.reached.Store(false)
@@ -69,7 +70,7 @@
 		return g.sendFailed(ctx, q, b, err)
 	}
 	q.everReached.Store(true)
-	t := attempt{answer: answer, reply: g.Dialect.ReplyHeaders(answer.Status, answer.Header)}
+	t := sendResult{answer: answer, reply: g.Dialect.ReplyHeaders(answer.Status, answer.Header)}
 	g.noteLoad(b, t.reply)
 	t.reply.Report.Sent, t.reply.Report.Received = q.sentAt, time.Now()
 	if isOwnReport(t) {
@@ -95,7 +96,7 @@
 
 // isOwnReport reports whether an answer certainly comes from the endpoint itself. A misdirected
 // request has reached another endpoint at its address, whose limits do not apply.
-func isOwnReport(t attempt) bool {
+func isOwnReport(t sendResult) bool {
 	return t.reply.Signed || t.reply.NotRun && t.answer.Status != http.StatusMisdirectedRequest
 }
 
@@ -103,8 +104,8 @@
 var errUnsigned = errors.New("the endpoint does not vouch for its answer")
 
 // sendFailed judges a send that got no head of an answer.
-func (g *Gateway) sendFailed(ctx context.Context, q *query, b *backend, err error) attempt {
-	t := attempt{verdict: verdictLost, err: err}
+func (g *Gateway) sendFailed(ctx context.Context, q *query, b *backend, err error) sendResult {
+	t := sendResult{verdict: verdictLost, err: err}
 	var failed *upstream.SendError
 	sent := !errors.As(err, &failed) || failed.Sent
 	if sent {
--- a/role/gateway/backoff_test.go
+++ b/role/gateway/backoff_test.go
@@ -45,27 +45,28 @@
 	require.Greater(t, answers[http.StatusOK], total*9/10, "the other endpoints have room: %v", answers)
 }
 
-// Two first endpoints refused all requests for nine seconds, each time with a Retry-After of three seconds.
-// Each of five gateways still sent them a request every 0.25 to 0.5 s, eight within one backoff period where
-// two are allowed: a refusal excluded an endpoint for 0.2 s, whatever it asked for, and a plain endpoint was
-// used as a last resort even then. Each request logged "chain refused the request" twice, 2 ms apart, before
-// the third endpoint served it. Once the gateways read the header, "endpoint asks for rest" accompanied each
-// refusal.
+// An endpoint that refuses requests with a Retry-After delay gets at most site.RetryAfterSlack requests
+// until the delay has passed. Guards against gateways that ignore the delay: two first endpoints refused all
+// requests for nine seconds, each time with a Retry-After of three seconds. Each of five gateways still sent
+// them a request every 0.25 to 0.5 s, eight within one backoff period where two are allowed: a refusal
+// excluded an endpoint for 0.2 s, whatever it asked for, and a plain endpoint was used as a last resort even
+// then. Each request logged "chain refused the request" twice, 2 ms apart, before the third endpoint served
+// it. A gateway that reads the header logs "endpoint asks for rest" at each refusal.
 func TestBackoffPeriodIsObserved(t *testing.T) {
-	const rest = 2 * time.Second
+	const backoff = 2 * time.Second
 	for path, endpoints := range endpointsByPath() {
 		t.Run(path, func(t *testing.T) {
 			t.Parallel()
-			f, e, _, stop := sayUnderLoad(t, path, []string{"north"}, endpoints, site.Signals{RetryAfter: rest})
+			f, e, _, stop := sayUnderLoad(t, path, []string{"north"}, endpoints, site.Signals{RetryAfter: backoff})
 			before := len(e.Arrived())
 			f.eventually(func() bool { return len(e.Arrived()) > before })
 			asked := e.Arrived()[before]
-			f.eventually(func() bool { return time.Since(asked) > 2*rest+time.Second })
+			f.eventually(func() bool { return time.Since(asked) > 2*backoff+time.Second })
 			arrivals := e.Arrived()[before:]
 			e.SetSignals(site.Signals{})
 			f.eventually(func() bool { return len(e.Arrived()) > before+len(arrivals)+5 }) // it is used again
 			answers := stop()
-			require.LessOrEqual(t, site.MaxWithinBackoff(arrivals, rest), site.RetryAfterSlack, "of %d", len(arrivals))
+			require.LessOrEqual(t, site.MaxWithinBackoff(arrivals, backoff), site.RetryAfterSlack, "of %d", len(arrivals))
 			requireMostServed(t, answers)
 		})
 	}
--- a/role/gateway/changes.go
+++ b/role/gateway/changes.go
@@ -26,8 +26,9 @@
 	}
 }
 
-// sources returns the addresses of the gateways that ask the store on behalf of this one, none when
-// it is to ask the store itself, and whether it is to do so when these do not answer.
+// sources returns the addresses of the gateways that this one asks for changes instead of the
+// store, none if it is to ask the store itself. standby reports whether it asks the store if none
+// of them answers.
 func (g *Gateway) sources() (list []string, standby bool) {
 	o := g.gossip.Overlay()
 	if time.Since(g.started) < firstDigests {
--- a/role/gateway/check.go
+++ b/role/gateway/check.go
@@ -18,11 +18,13 @@
 	// passedFresh is how recent an event that came through an endpoint must be to show that it is
 	// alive: the usual time between two events of a stream.
 	passedFresh = 50 * time.Millisecond
-	// checkedFresh is how long a passed check counts when only a late event speaks against the
-	// endpoint: a check costs as much as a hundredth of a request.
+	// checkedFresh is how long a passed check counts when a late event is the only sign that the
+	// endpoint has failed. It limits the number of checks, each of which costs as much as a
+	// hundredth of a request.
 	checkedFresh = 800 * time.Millisecond
-	// checkStagger is how much longer a check by another gateway counts for each gateway that ranks
-	// before this one as checker of the endpoint: the interval between two digests.
+	// checkStagger is by how much longer than checkedFresh a check by another gateway counts, for
+	// each gateway that ranks before this one as checker of the endpoint. It is the interval
+	// between two digests.
 	checkStagger = 150 * time.Millisecond
 	// checkersEach is the number of gateways that check an endpoint for the others: one may be cut
 	// off.
@@ -35,9 +37,9 @@
 	// endedAfter is how long an endpoint must have been silent to count as ended: a process that
 	// was paused, or a connection that lost packets, is back sooner.
 	endedAfter = 700 * time.Millisecond
-	// unverifiedReportTime is how long an endpoint is presumed dead because other gateways report
-	// it down before this gateway checks it: the record of an endpoint that has ended lapses in
-	// about four seconds.
+	// unverifiedReportTime is how long an endpoint must have been presumed dead, because other
+	// gateways report it down, before this gateway checks it. It is less than the four seconds or
+	// so in which the record of an endpoint that has ended lapses.
 	unverifiedReportTime = 1200 * time.Millisecond
 	// contradictionTime is how long an answer of an endpoint overrides reports that it is down.
 	contradictionTime = 3 * time.Second
@@ -62,8 +64,9 @@
 )
 
 // checkAsync checks an endpoint in the background, one check at a time, and again while this
-// process is starved of processor time. Streams through an endpoint that does not answer are moved
-// at once: a report by the endpoints before it in the chain comes only about 200 ms later.
+// process is starved of processor time. If the endpoint does not answer, the streams through it are
+// moved at once, without waiting about 200 ms longer for the endpoints before it in the chain to
+// report the stall.
 func (g *Gateway) checkAsync(b *backend) {
 	if b.use.down() || !b.use.checking.CompareAndSwap(false, true) {
 		return
@@ -107,8 +110,8 @@
 
 // isCurrent reports whether the backend is the incarnation that the record of the endpoint names.
 func (g *Gateway) isCurrent(b *backend) bool {
-	now := g.fleet.Load().byID[b.ID]
-	return now != nil && now.use == b.use
+	current := g.fleet.Load().byID[b.ID]
+	return current != nil && current.use == b.use
 }
 
 // verify checks an endpoint that has broken off an answer, and returns once it is known whether it
@@ -136,9 +139,10 @@
 	g.checkAsync(b)
 }
 
-// checkRefused does the same for an endpoint that a refusal names, which has no room or has ended;
-// sent is when the request was sent. A misdirected request means that it lacks the layers of its
-// record: then it is checked unless it has passed a check since.
+// checkRefused checks an endpoint that a refusal names, which has no room or has ended, on the
+// conditions of checkIfUncertain; sent is when the request was sent. A misdirected request means
+// that the endpoint lacks the layers of its record: then it is checked unless it has passed a check
+// since sent.
 func (g *Gateway) checkRefused(b *backend, misdirected bool, sent time.Time) {
 	if misdirected && b.use.checkedAt.Load() < sent.UnixNano() {
 		g.checkAsync(b)
@@ -147,9 +151,10 @@
 	g.checkIfUncertain(b, time.Now())
 }
 
-// checkBehind does the same for an endpoint that this gateway reaches only through another one,
-// where a check that another gateway passed counts as much as its own. Of the gateways that use a
-// slow endpoint one checks it first, and the others only if no digest reports that check.
+// checkBehind checks an endpoint that this gateway reaches only through another one, on the
+// conditions of checkIfUncertain; there, a check by another gateway counts as much as its own. Of
+// the gateways that use a slow endpoint one checks it first, and the others only if no digest
+// reports that check.
 func (g *Gateway) checkBehind(b *backend, now time.Time) {
 	stagger := time.Duration(g.gossip.Overlay().ItemRank(b.ID, b.Hall)) * checkStagger
 	if now.UnixNano()-b.use.othersCheckedAt.Load() < int64(min(checkedFresh+stagger, checkReportTime)) {
@@ -158,14 +163,15 @@
 	g.checkIfUncertain(b, now)
 }
 
-// checkNow asks an endpoint for its report and records when it gives none. An endpoint of a plain
-// service never gives one. It returns false when the endpoint cannot be judged because this process
-// was starved of processor time.
+// checkNow asks an endpoint for its report, and records it as down if it does not answer or another
+// incarnation does. An endpoint of a plain service has no report: checkNow records whether its host
+// refuses connections. It returns false when the endpoint cannot be judged because this process was
+// starved of processor time.
 func (g *Gateway) checkNow(b *backend) bool {
 	return g.checkSince(b, time.Time{})
 }
 
-// checkSince does the same with a question that is asked after since.
+// checkSince is like checkNow, but does not use a report requested before since.
 func (g *Gateway) checkSince(b *backend, since time.Time) bool {
 	if b.Card == "" {
 		g.checkPlain(b)
@@ -203,10 +209,11 @@
 // together.
 const referenceFresh = 60 * time.Millisecond
 
-// reference returns the address of the endpoint other than the given one through which an event
-// came last, empty when that is long ago. When the link of this host is congested no endpoint
-// answers in time: while large configurations arrived three times per second, 104 of 136 endpoints
-// found silent within ten seconds answered again within a second, and 620 streams had been moved
+// reference returns the address of an endpoint with which a silent one is compared: the one, other
+// than the given one, through which an event came last. It returns the empty string if that was
+// longer than referenceFresh ago. When the link of this host is congested no endpoint answers in
+// time: while large configurations arrived three times per second, 104 of 136 endpoints found
+// silent within ten seconds answered again within a second, and 620 streams had been moved
 // needlessly.
 func (g *Gateway) reference(address string) string {
 	last, found := time.Now().Add(-referenceFresh).UnixNano(), ""
@@ -232,15 +239,15 @@
 // whether the endpoint has certainly ended.
 func (g *Gateway) noteSilence(b *backend, ended bool, err error, begun time.Time) {
 	now := time.Now()
-	ran := b.use.watchers.begun(b.ID, now) // before the watchdogs that wait for this check unregister
+	begunRequests := b.use.watchers.begun(b.ID, now) // before the watchdogs that wait for this check unregister
 	b.use.markDown(now, ended)
 	g.Log.Info().Str("endpoint", b.ID).Str("address", b.Address).Err(err).Bool("ended", ended).
-		Strs("begun", fingerprints(ran)).Dur("took_ms", now.Sub(begun)).Msg("endpoint does not answer")
+		Strs("begun", fingerprints(begunRequests)).Dur("took_ms", now.Sub(begun)).Msg("endpoint does not answer")
 	g.announceLoss(b)
 	if ended {
-		g.quarantine.Report(b.incarnation(), ran, now)
+		g.quarantine.Report(b.incarnation(), begunRequests, now)
 	} else {
-		b.use.begun.Store(&ran)
+		b.use.begun.Store(&begunRequests)
 	}
 	g.quarantine.Review(now)
 }
@@ -285,7 +292,8 @@
 	g.gossip.SendSoon()
 }
 
-// noteStalls records which endpoints hold requests up.
+// noteStalls records which endpoints stall requests according to a report, and has the streams
+// through them moved.
 func (g *Gateway) noteStalls(report runner.Report) {
 	now := time.Now()
 	for _, stall := range report.Stalled {
@@ -300,8 +308,8 @@
 	}
 }
 
-// hasEnded reports whether an endpoint that still has a record has ended: neither this gateway nor
-// another one gets an answer.
+// hasEnded reports whether an endpoint that still has a record has ended: it has not answered this
+// gateway for endedAfter, and another gateway, if there is one, gets no answer either.
 func (g *Gateway) hasEnded(b *backend, now time.Time) bool {
 	if !b.use.down() || now.UnixNano()-b.use.downSince.Load() < int64(endedAfter) {
 		return false
@@ -336,7 +344,8 @@
 	}
 }
 
-// isChecker reports whether this gateway is one of those that check an endpoint for the others.
+// isChecker reports whether this gateway is one of those that check an endpoint for the others: the
+// leader and the first checkersEach in rank.
 func (g *Gateway) isChecker(b *backend) bool {
 	return g.leading.Load() || g.gossip.Overlay().ItemRank(b.ID, b.Hall) < checkersEach
 }
--- a/role/gateway/chooser.go
+++ b/role/gateway/chooser.go
@@ -21,8 +21,9 @@
 	holders []chain.Holder
 	// noise is the random cost factor of each hall for this request.
 	noise []float64
-	// fleetFactor is the number of requests of all gateways that do the same for each one of this
-	// gateway: 1 for a single request, more for one that leaves a lost endpoint.
+	// fleetFactor is the ratio of the requests of all gateways that are moved or sent again for the
+	// same reason to those of this gateway: 1 for a single request, more for one that leaves a lost
+	// endpoint.
 	fleetFactor float64
 	// unreported is the share of the other gateways' requests at an endpoint that may have arrived
 	// since their last report.
@@ -35,10 +36,10 @@
 	// skipLimited leaves out endpoints that have announced a limit of which this gateway has no
 	// share left. Otherwise a request may pick them, so that the demand for them is known.
 	skipLimited bool
-	// entryCandidates counts the endpoints at which a chain may begin. held lists those of them
-	// that accept nothing now.
+	// entryCandidates counts the endpoints at which a chain may begin. declining lists those of
+	// them that accept nothing now.
 	entryCandidates int
-	held            []*backend
+	declining       []*backend
 }
 
 // choosers recycles the working memory of choosers.
@@ -78,8 +79,8 @@
 
 // maxHallNoise and maxEndpointNoise bound the random extra cost of a hall and of an endpoint, drawn
 // anew for each request. What gateways know of each other's requests is 0.2 to 0.4 s old, and
-// without noise they would all take the same cheapest chain meanwhile: under high load the mean
-// worth of a request was 0.58 without noise and 0.67 with it.
+// without noise they would all take the same cheapest chain meanwhile. Under high load, 0.67 of the
+// possible value of all requests is reached, a late answer counting less, and 0.58 without noise.
 const (
 	maxHallNoise     = 0.7
 	maxEndpointNoise = 0.2
@@ -135,7 +136,7 @@
 // collect lists the backends that a request may use.
 func (c *chooser) collect(q *query, f *fleet, need int, use candidateFilter) {
 	c.holders = c.holders[:0]
-	c.open, c.avoided, c.crowded, c.entryCandidates, c.held = 0, 0, 0, 0, c.held[:0]
+	c.open, c.avoided, c.crowded, c.entryCandidates, c.declining = 0, 0, 0, 0, c.declining[:0]
 	now := time.Now()
 	for _, b := range f.open[q.service.Name] {
 		usable := b.usable(now)
@@ -159,7 +160,7 @@
 		if usable.First == 0 {
 			c.entryCandidates++
 			if use != skipAvoided && c.declines(hold) {
-				c.held = append(c.held, b)
+				c.declining = append(c.declining, b)
 				usable.First = 1 // the limit counts only requests that start at the endpoint, not those that pass through it
 			}
 		}
@@ -186,7 +187,7 @@
 
 // shortage returns why the search found no chain although one exists.
 func (c *chooser) shortage() shortage {
-	if c.entryCandidates > 0 && len(c.held) == c.entryCandidates {
+	if c.entryCandidates > 0 && len(c.declining) == c.entryCandidates {
 		return shortageHeld
 	}
 	return shortageRoom
@@ -231,9 +232,10 @@
 }
 
 // readSpreadTokens is the number of tokens over which the cost of reading a prompt is spread. An
-// answer has about 200, but a late first event halves the worth of a request: spread over the whole
-// answer, 60 prompts waiting at an endpoint weighed less than using another hall. Under high load
-// the mean worth of a request was 0.66 at 10 tokens and 0.67 at 32.
+// answer has about 200 tokens, but an answer whose first event is late counts only half: with the
+// cost spread over the whole answer, 60 prompts waiting at an endpoint would weigh less than the
+// use of another hall. Under high load, 0.67 of the possible value of all requests is reached, and
+// 0.66 with 10 tokens.
 const readSpreadTokens = 32
 
 // layerTime returns the seconds that one layer adds to a token, including a share of the time to
--- a/role/gateway/departure_test.go
+++ b/role/gateway/departure_test.go
@@ -20,8 +20,8 @@
 	return len(e.Seen()) == before
 }
 
-// Guards against a gateway that goes on using an endpoint that left while the gateway alone had lost the
-// store, since the endpoint's last record that it had seen did not show the departure.
+// A gateway that alone had lost the store does not use an endpoint that left meanwhile, although the last
+// record of the endpoint that the gateway has read does not show the departure.
 func TestEndpointThatLeftDuringAPartitionIsAvoidedAfterIt(t *testing.T) {
 	t.Parallel()
 	a := plain("a")
@@ -40,7 +40,8 @@
 	require.True(t, w.avoids(a))
 }
 
-// A record written before the endpoint announced its departure may arrive after the announcement.
+// A record written before the endpoint announced its departure may arrive after the announcement. It does
+// not make the endpoint take requests again.
 func TestLateRecordDoesNotReopenALeavingEndpoint(t *testing.T) {
 	t.Parallel()
 	a := plain("a")
--- a/role/gateway/digest.go
+++ b/role/gateway/digest.go
@@ -13,8 +13,9 @@
 // the last of the gateways that would check the endpoint.
 const checkReportTime = 3 * time.Second
 
-// Digest returns the use that this gateway makes of endpoints at now, plus that of others in its
-// hall.
+// Digest returns the use that this gateway makes of endpoints at now, plus that of others. others
+// is nil for the gateway's own digest; for the digest of a whole hall it holds the shares of the
+// other gateways of the hall by endpoint ID.
 func (g *Gateway) Digest(now time.Time, others map[string]peers.Usage) *gossip.Digest {
 	d := &gossip.Digest{
 		Proven:         g.loaded.Load() && !g.failing.Load(),
@@ -211,7 +212,7 @@
 // through it moved unless it was already presumed dead.
 func (g *Gateway) handleStallReport(b *backend, now time.Time, wait time.Duration) {
 	isNew := !b.use.presumedDead(now)
-	b.use.othersStalled.Store(now.Add(wait).UnixNano())
+	b.use.othersStalledUntil.Store(now.Add(wait).UnixNano())
 	if isNew {
 		b.use.watchers.checkSoon()
 	}
--- a/role/gateway/fleet.go
+++ b/role/gateway/fleet.go
@@ -80,10 +80,10 @@
 	// noRoomUntil is until when it is avoided after it refused for lack of room, in nanoseconds of
 	// Unix time.
 	noRoomUntil atomic.Int64
-	// stalledUntil is until when it is avoided after it held requests up, as observed by this
-	// gateway, othersStalled as reported by others, in nanoseconds of Unix time; stalls counts the
-	// times that it did.
-	stalledUntil, othersStalled, stalls atomic.Int64
+	// stalledUntil is until when it is avoided after it stalled requests, as observed by this
+	// gateway, and othersStalledUntil the same as reported by others, in nanoseconds of Unix time;
+	// stalls counts the stalls observed by this gateway.
+	stalledUntil, othersStalledUntil, stalls atomic.Int64
 	// eventAt is when an event last came through it, in nanoseconds of Unix time.
 	eventAt atomic.Int64
 	// downSince is when it was found not to answer, 0 while it answers, silentAt when it last gave
@@ -101,7 +101,8 @@
 	begun atomic.Pointer[[]suspects.Begun]
 	// rechecks counts the consecutive checks without an answer since it was found down.
 	rechecks atomic.Int64
-	// ended is set while its host refuses connections to it: its process has ended.
+	// ended is set while its process has certainly ended: its host refuses connections to it, or
+	// another incarnation has taken its place.
 	ended atomic.Bool
 	// checking is set while it is checked, recheckingStarved while it is checked repeatedly because
 	// this process was starved of processor time.
@@ -195,7 +196,7 @@
 // others.
 func (u *usage) presumedDead(now time.Time) bool {
 	at := now.UnixNano()
-	return u.down() || at < u.stalledUntil.Load() || at < u.othersStalled.Load() || at < u.reportedDownUntil.Load()
+	return u.down() || at < u.stalledUntil.Load() || at < u.othersStalledUntil.Load() || at < u.reportedDownUntil.Load()
 }
 
 // enoughWitnesses is the number of other gateways whose reports alone make an endpoint presumed
@@ -242,20 +243,20 @@
 	return now.UnixNano()-u.eventAt.Load() < int64(passedFresh)
 }
 
-// stallWait is how long an endpoint that held requests up is avoided: most have ended, and return
+// stallWait is how long an endpoint that stalled requests is avoided: most have ended, and return
 // under another ID. The time doubles with each further stall.
 var stallWait = backoff.Backoff{Base: 3 * time.Second, Max: 12 * time.Second}
 
-// stall records at now that the endpoint held requests up.
+// stall records at now that the endpoint stalled requests.
 func (u *usage) stall(now time.Time) {
 	u.stalledUntil.Store(now.Add(stallWait.Delay(int(u.stalls.Add(1)), 0)).UnixNano())
 }
 
-// maxFleetFactor bounds how many requests of all gateways count for each one of this gateway, which
-// may have only one of a few.
+// maxFleetFactor bounds the result of fleetFactor, which may be high because this gateway has only
+// one of the requests at the endpoint.
 const maxFleetFactor = 64
 
-// fleetFactor returns the number of requests of all gateways at the endpoint for each one of this
+// fleetFactor returns the ratio of the requests of all gateways at the endpoint to those of this
 // gateway. When the endpoint is lost they are all moved at once, and each gateway sees only its
 // own.
 func (u *usage) fleetFactor() float64 {
--- a/role/gateway/follow.go
+++ b/role/gateway/follow.go
@@ -17,10 +17,10 @@
 	// lapseGrace is how long after an outage of the store a lapsed record may be missing: live
 	// endpoints write theirs again within two seconds.
 	lapseGrace = 2200 * time.Millisecond
-	// gatherPause is the pause in which a gateway that knows no other one lets the gateways that
-	// start with it announce themselves, which all hosts of a fleet do within 0.3 s. gatherReads is
-	// how often it reads the store for them, from possibly stale pages, before it asks the store
-	// for changes itself.
+	// gatherPause is how long a gateway that knows no other one waits for the gateways that start
+	// at the same time to announce themselves; those of a whole fleet do within 0.3 s. gatherReads
+	// is how many times it reads the store, whose pages may be stale, to find them before it asks
+	// the store for changes itself.
 	gatherPause = 400 * time.Millisecond
 	gatherReads = 4
 )
@@ -76,7 +76,7 @@
 		g.Log.Error().Err(err).Uint64("revision", p.Revision).Msg("configuration not understood, the previous one stays in force")
 		return
 	}
-	if now := g.catalog.Load(); now != nil && c.Version <= now.Version {
+	if current := g.catalog.Load(); current != nil && c.Version <= current.Version {
 		return
 	}
 	g.catalog.Store(c)
@@ -104,8 +104,10 @@
 	return g.announcer.Known() == 0
 }
 
-// unproven records that the store has been read in a possibly outdated state. The changes since
-// then are requested from another gateway, once one is known.
+// unproven records that the store has been read, in a possibly outdated state, readings times. It
+// returns how long to pause and whether to read again: while no other gateway is known, the store
+// is read up to gatherReads times. After that the changes since are requested, from another gateway
+// if one is known.
 func (g *Gateway) unproven(readings int) (pause time.Duration, again bool) {
 	g.read.Store(true)
 	if len(g.peers.Members(g.Name)) == 0 {
--- a/role/gateway/gateway.go
+++ b/role/gateway/gateway.go
@@ -255,7 +255,7 @@
 	return g.running.Close(force)
 }
 
-// ReadyHandler answers 200 while the gateway is ready and 503 otherwise.
+// ReadyHandler returns a handler that answers 200 while the gateway is ready and 503 otherwise.
 func (g *Gateway) ReadyHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !g.Ready() {
--- a/role/gateway/handler.go
+++ b/role/gateway/handler.go
@@ -99,8 +99,8 @@
 	}
 	if !g.loaded.Load() && q.service.Model == nil {
 		// A plain service has few endpoints, and those read so far would get the requests of a
-		// whole fleet: an endpoint of a service with three reset 13 of 280 requests that 286
-		// gateways sent it.
+		// whole fleet: of 280 requests that 286 gateways sent to one of the three endpoints of a
+		// service, it reset 13.
 		g.refuse(q, retryAfterStore, "the store has not been read yet")
 		return false
 	}
@@ -273,8 +273,8 @@
 	if q.retryAfter > 0 {
 		line = line.Dur("come_back_ms", q.retryAfter).Float64("admitted_per_s", q.admitted)
 	}
-	if held := q.heldBy(); len(held) > 0 {
-		line = line.Strs("held", held)
+	if declined := q.declinedBy(); len(declined) > 0 {
+		line = line.Strs("held", declined)
 	}
 	if q.events > 0 {
 		line = line.Int("events", q.events).Dur("pause_ms", q.pause).Int("carried", q.resumed)
--- a/role/gateway/incarnation_test.go
+++ b/role/gateway/incarnation_test.go
@@ -79,8 +79,8 @@
 	require.Len(t, former.Seen(), seen)
 }
 
-// Endpoints that return under their IDs are counted by incarnation: two of them that end again and again
-// under a request are more than two ends.
+// Endpoints that return under their IDs are counted by incarnation: if two endpoints end several times each
+// under a request, each time counts as an end.
 func TestIncarnationsUnderOneIDAreCounted(t *testing.T) {
 	t.Parallel()
 	f := &fleet{path: "/freeze/9", newEndpoint: func(id string) *site.Endpoint {
--- a/role/gateway/intake.go
+++ b/role/gateway/intake.go
@@ -13,26 +13,26 @@
 	g.throttling = throttling.Throttling{Name: g.Name, Peers: &g.peers, DigestInterval: g.gossip.DigestInterval, OnLeaving: g.handleLeaving, Log: g.Log}
 }
 
-// maxLoggedHeld bounds the endpoints that the log entry of a request names as not accepting it.
-const maxLoggedHeld = 4
+// maxLoggedDeclined bounds the endpoints that the log entry of a request names as not accepting it.
+const maxLoggedDeclined = 4
 
-// noteHeld records which of the endpoints that did not accept a request at now may accept it first.
-// On the first search it also records the reason of each, for the log.
-func (g *Gateway) noteHeld(q *query, held []*backend, now time.Time) {
+// noteDeclined records which of the endpoints that did not accept a request at now may accept it
+// first. On the first search it also records the reason of each, for the log.
+func (g *Gateway) noteDeclined(q *query, declined []*backend, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.next = nil
 	var first time.Time
-	for _, b := range held {
+	for _, b := range declined {
 		t := b.use.intake.Load()
 		if from, known := t.NextSend(now); known && (q.next == nil || from.Before(first)) {
 			q.next, first = b, from
 		}
-		if q.searched || len(q.held) >= maxLoggedHeld {
+		if q.searched || len(q.declined) >= maxLoggedDeclined {
 			continue
 		}
 		hold := t.Held(now)
-		q.held = append(q.held, fmt.Sprintf("%s %s limit=%.3g share=%.3g wanted=%.3g",
+		q.declined = append(q.declined, fmt.Sprintf("%s %s limit=%.3g share=%.3g wanted=%.3g",
 			b.ID, hold, t.Limit().Rate, t.Share(), t.Demand(now)))
 		g.Meter.Held(string(hold))
 	}
--- a/role/gateway/isolation.go
+++ b/role/gateway/isolation.go
@@ -15,8 +15,8 @@
 	// the suspects and isolate them: one digest interval, and one more in case a digest is lost. It
 	// is also the interval between two checks whether an endpoint is free.
 	isolationWait = 200 * time.Millisecond
-	// isolationTimeout bounds the wait for an endpoint. A report by another gateway that a suspect
-	// has run to its end counts for three seconds.
+	// isolationTimeout bounds the wait for an endpoint. It is longer than the three seconds for
+	// which a report by another gateway that a suspect has run to its end counts.
 	isolationTimeout = 4 * time.Second
 )
 
@@ -26,7 +26,7 @@
 	return g.quarantine.MustIsolate(q.print, time.Now())
 }
 
-// isolationPlan returns at which endpoints of a service suspects are tried at now.
+// isolationPlan returns which endpoints of a service are reserved for which suspects at now.
 func (g *Gateway) isolationPlan(service string, now time.Time) isolation.Plan {
 	list := g.quarantine.Suspects(now)
 	if len(list) == 0 {
--- a/role/gateway/leader.go
+++ b/role/gateway/leader.go
@@ -29,8 +29,9 @@
 	// digest announces a new holder at once.
 	takeoverStagger = 150 * time.Millisecond
 	maxTakeoverRank = 8
-	// leaderSettle is how long the store must have been read before a gateway takes the right: when
-	// a fleet starts, the other gateways become known only with the next changes.
+	// leaderSettle is the minimum time between reading the store, for the first time or after an
+	// outage, and taking the right: when a fleet starts, the other gateways become known only with
+	// the next changes.
 	leaderSettle = changesSettle + 150*time.Millisecond
 	// leaderRound is the time between two rounds of orders.
 	leaderRound = 250 * time.Millisecond
@@ -50,7 +51,7 @@
 	// fence is the revision at which the right was taken.
 	fence uint64
 	lease string
-	// size is the size of the fleet, changed when it last changed.
+	// size is the number of endpoints of the fleet, and changed is when that number last changed.
 	size    int
 	changed time.Time
 }
@@ -76,8 +77,8 @@
 		if vacant.IsZero() {
 			vacant = now
 		}
-		read := time.Duration(now.UnixNano() - g.currentSince.Load())
-		if now.Sub(vacant) < g.takeoverDelay(now) || read < leaderSettle {
+		currentFor := time.Duration(now.UnixNano() - g.currentSince.Load())
+		if now.Sub(vacant) < g.takeoverDelay(now) || currentFor < leaderSettle {
 			continue
 		}
 		holder := leader{g: g}
--- a/role/gateway/leave_test.go
+++ b/role/gateway/leave_test.go
@@ -167,8 +167,8 @@
 	require.Contains(t, endLine(t, w, id), `"sends":3,`)
 }
 
-// An endpoint that is merely silent does count: this gateway may be too slow to hear it, and the request may
-// be running there.
+// An endpoint that is merely silent does count: this gateway may be too slow to receive its answers, and the
+// request may be running there.
 func TestSilentEndpointsCountAsAttempts(t *testing.T) {
 	t.Parallel()
 	var cards []*site.Endpoint
@@ -218,7 +218,8 @@
 	late := func(rw http.ResponseWriter, r *http.Request) {
 		defer close(served)
 		w.eventually(func() bool { return ingress.CallerDisconnected(r.Context()) })
-		w.gateway.ServeHTTP(rw, r.WithContext(context.WithoutCancel(r.Context()))) // as if it had not been read
+		// without cancellation, as if the process had not yet seen that the connection was closed
+		w.gateway.ServeHTTP(rw, r.WithContext(context.WithoutCancel(r.Context())))
 	}
 	server := &ingress.Server{
 		Address: freePort(t), Handler: http.HandlerFunc(late), ErrorLog: stdlog.New(io.Discard, "", 0),
--- a/role/gateway/limit_test.go
+++ b/role/gateway/limit_test.go
@@ -102,10 +102,12 @@
 	require.LessOrEqual(t, site.MaxWithin(later, site.LimitSpan), site.Allowed(limit))
 }
 
-// An overloaded endpoint stated a limit of 3.8 requests a second, but still got 10 to 16 a second from five
-// gateways: 42 within four seconds, of which 28 are allowed. The gateways did not read the header with the
-// limit, and since the endpoint refused nothing, they had no other sign of its overload. Once they read the
-// header, each logged "endpoint changes its limit" within 0.2 s, at 122 requests in four seconds.
+// All gateways together keep the limit that an endpoint states. Guards against gateways that ignore the
+// limit: an overloaded endpoint stated 3.8 requests a second, but still got 10 to 16 a second from five
+// gateways: 42 within four seconds, where 28 are allowed. The gateways did not read the header with the
+// limit, and since the endpoint refused nothing, they had no other sign of its overload. In this test, an
+// endpoint whose limit is ignored gets 122 requests in four seconds. Once a gateway reads the header, it
+// logs "endpoint changes its limit" within 0.2 s.
 func TestGatewaysKeepALimitTogether(t *testing.T) {
 	const limit = 3.8
 	halls := []string{"north", "north", "north", "south", "south"}
--- a/role/gateway/loss_test.go
+++ b/role/gateway/loss_test.go
@@ -140,8 +140,8 @@
 	w.waitForLog("endpoint answers again")
 }
 
-// If no other endpoint holds the layers, one that seemed to be down is used: this gateway may have been too
-// slow to hear it.
+// If no other endpoint holds the layers, one that seems to be down is used: this gateway may have been too
+// slow to receive its answers.
 func TestUncertainEndpointIsBetterThanNone(t *testing.T) {
 	t.Parallel()
 	cards := []*site.Endpoint{card("card-0", "north"), card("card-1", "north")}
@@ -245,13 +245,13 @@
 	w.waitForLog("endpoint does not answer")
 }
 
-// Guards against a dead endpoint that stays in use because the process was starved for longer than it
-// repeats checks.
+// A dead endpoint is found even if the process was starved for long: the checks are repeated until one is
+// conclusive. Guards against repeating them for a limited time only.
 func TestDeadEndpointIsFoundAfterLongStarvation(t *testing.T) {
 	t.Parallel()
-	w, heldUp := killWhileStarved(t)
+	w, starved := killWhileStarved(t)
 	time.Sleep(6 * time.Second)
-	heldUp.Store(false)
+	starved.Store(false)
 	w.waitForLog("endpoint does not answer")
 }
 
@@ -323,14 +323,15 @@
 	u.on.Store(true)
 	const events = 12
 	require.Equal(t, fullBody(events), w.do(w.streamRequest("/plan/1", events)).body)
-	// 48 and 49 without repeated checks, including those of the leader; 68 with a check every 0.25 s for
-	// each late event.
+	// Without repeated checks there are 48 or 49 requests for reports, including those of the leader; a
+	// check every 0.25 s for each late event would make 68.
 	require.Less(t, u.asked.Load(), int64(58))
 }
 
-// While the only endpoint with the first layers was gone, each request was sent to it four times within
-// milliseconds, since there was no other: 306 refused connections in 1.2 s used up the retry budget, so that
-// streams were broken off with "the retry budget is used up" before other endpoints had loaded the layers.
+// An endpoint whose host refuses connections gets no requests, even if no other endpoint holds its layers.
+// Without this, each request was sent four times within milliseconds to the only endpoint with the first
+// layers: 306 refused connections in 1.2 s used up the retry budget, and streams were broken off ("the retry
+// budget is used up") before other endpoints had loaded the layers.
 func TestNothingIsSentToAnEndpointThatRefusesConnections(t *testing.T) {
 	w, cards := newModelOf(t, 2, 1)
 	for _, c := range cards {
--- a/role/gateway/order.go
+++ b/role/gateway/order.go
@@ -84,8 +84,8 @@
 	return orderRefused
 }
 
-// afterOrder returns the order that an endpoint is assumed to carry out after an order for layers
-// had a result; nil when its record is authoritative.
+// afterOrder returns the order that an endpoint is assumed to carry out, given the result of an
+// order for layers; nil if its record is authoritative.
 func afterOrder(result orderResult, layers layer.Range, report runner.Report, b *backend, now time.Time) *pendingOrder {
 	switch result {
 	case orderTaken:
@@ -94,7 +94,7 @@
 		return &pendingOrder{layers: layers, until: now.Add(unansweredWait)}
 	case orderStale:
 		return &pendingOrder{layers: report.Layers, until: now.Add(recordLag)}
-	case orderBusy: // the other order is not known; until then the endpoint keeps its layers
+	case orderBusy: // the other order is not known: the endpoint is assumed to keep its layers until the next round
 		return &pendingOrder{layers: b.Layers, until: now.Add(leaderRound)}
 	}
 	return nil
--- a/role/gateway/order_test.go
+++ b/role/gateway/order_test.go
@@ -94,8 +94,8 @@
 	require.NotContains(t, w.log.String(), "order given")
 }
 
-// A report that a gateway of another hall is the leader is not relayed to the halls: it would be echoed
-// forever, and no gateway would take over when the leader has ended.
+// A gateway does not relay the report of another hall's digest that the leader is in that hall: such reports
+// would echo between the halls forever, and no gateway would take over when the leader has ended.
 func TestReportOfALeaderIsNotEchoed(t *testing.T) {
 	t.Parallel()
 	s, err := site.New(layers)
--- a/role/gateway/pace.go
+++ b/role/gateway/pace.go
@@ -24,8 +24,8 @@
 			}
 			for _, b := range f.byHall[hall] {
 				now := time.Now()
-				rests := b.use.intake.Held(now) == throttle.BackingOff
-				if b.Card != "" && !rests && !b.use.askedLately(now) && !b.use.presumedDead(now) && o.ItemRank(b.ID, hall) == 0 {
+				backingOff := b.use.intake.Held(now) == throttle.BackingOff
+				if b.Card != "" && !backingOff && !b.use.askedLately(now) && !b.use.presumedDead(now) && o.ItemRank(b.ID, hall) == 0 {
 					g.ask(ctx, b)
 				}
 			}
--- a/role/gateway/partition.go
+++ b/role/gateway/partition.go
@@ -18,7 +18,7 @@
 	d.Init()
 }
 
-// refresh has the store asked at once whether it answers.
+// refresh makes this gateway ask the store at once whether it answers.
 func (g *Gateway) refresh() {
 	g.feed.Refresh()
 	select {
--- a/role/gateway/plain.go
+++ b/role/gateway/plain.go
@@ -16,7 +16,8 @@
 	// defaultAnswerWait is how long a repeatable request waits for an endpoint before it goes to
 	// another where the route has no objective; otherwise it waits for the objective.
 	defaultAnswerWait = 400 * time.Millisecond
-	// maxSends bounds the endpoints to which one request is sent.
+	// maxSends bounds how often one request is sent. A stream whose caller already has events may
+	// exceed it after refusals.
 	maxSends = 4
 	// loadFresh is how long the load that an endpoint reported counts.
 	loadFresh = 500 * time.Millisecond
@@ -72,9 +73,9 @@
 
 // candidates are the backends of a plain service that a request may use.
 type candidates struct {
-	// free accept requests, limited have no share of their limit left for this gateway, and resting
-	// accept nothing for another reason.
-	free, limited, resting []*backend
+	// free accept requests, limited have no share of their limit left for this gateway, and
+	// unavailable accept nothing for another reason.
+	free, limited, unavailable []*backend
 	// spare is a backend that is avoided but accepts requests, nil for none.
 	spare *backend
 }
@@ -96,22 +97,23 @@
 		case hold == throttle.Limited && !passedOver:
 			c.limited = append(c.limited, b)
 		case hold != throttle.Limited:
-			c.resting = append(c.resting, b)
+			c.unavailable = append(c.unavailable, b)
 		}
 	}
 	return c
 }
 
-// pick returns the least loaded backend of a plain service, by the requests of this gateway, the
-// load that the endpoint reported recently, and its failure rate. A backend that accepts nothing
-// for now is not returned even if it is the only one.
+// pick returns the least loaded backend of a plain service that accepts requests, by the requests
+// of all gateways there, the queue length that the endpoint reported recently, its hall and its
+// failure rate. If all of them are avoided or reserved for suspects, it returns one of those. A
+// backend that accepts nothing for now is not returned even if it is the only one.
 func (g *Gateway) pick(q *query) *backend {
 	now := time.Now()
 	c := g.candidates(q, now)
 	if wanted := g.leastLoaded(slices.Concat(c.free, c.limited), now); wanted != nil && !q.hasSearched() {
 		wanted.use.intake.CountDemand(now)
 	}
-	g.noteHeld(q, slices.Concat(c.limited, c.resting), now)
+	g.noteDeclined(q, slices.Concat(c.limited, c.unavailable), now)
 	if best := g.leastLoaded(c.free, now); best != nil {
 		return best
 	}
@@ -142,8 +144,8 @@
 	return (score + 1) * (1 + failingWeight*b.use.health.Load().FailureRate)
 }
 
-// attemptPlain sends the request to a backend. It reports whether the request has ended, or else
-// why not.
+// attemptPlain sends the request to a backend. It reports whether the request has ended; otherwise
+// it also returns why this attempt failed.
 func (g *Gateway) attemptPlain(q *query, b *backend) (bool, string) {
 	b.use.take(0)
 	defer b.use.release(0)
@@ -189,7 +191,7 @@
 	g.quarantine.Completed(q.print, time.Now())
 	if t.answer.Status >= http.StatusInternalServerError {
 		b.use.updateHealth(health.Record.WithFailure)
-		if !last && g.timeLeft(q) && g.hasOther(q, b) {
+		if !last && g.timeLeft(q) && g.avoidAndHasOther(q, b) {
 			q.cause = causeFailed
 			return false, "the endpoint answered " + strconv.Itoa(t.answer.Status)
 		}
@@ -205,14 +207,15 @@
 	return q.timeLeft(time.Now()) > 0 && !q.callerLeft()
 }
 
-// hasOther reports whether there is a backend other than b.
-func (g *Gateway) hasOther(q *query, b *backend) bool {
+// avoidAndHasOther marks b as not to be tried again by the request, and reports whether there is
+// another backend for it.
+func (g *Gateway) avoidAndHasOther(q *query, b *backend) bool {
 	q.avoid(b.Address)
 	return g.pick(q) != nil
 }
 
 // notRunReason returns why a request was not run.
-func notRunReason(t attempt) string {
+func notRunReason(t sendResult) string {
 	if t.err != nil {
 		return t.err.Error()
 	}
@@ -226,7 +229,7 @@
 }
 
 // deliver passes a whole answer on.
-func (g *Gateway) deliver(q *query, t attempt, body []byte) {
+func (g *Gateway) deliver(q *query, t sendResult, body []byte) {
 	if notRunStatuses[t.answer.Status] { // the endpoint ran it, but its status would say otherwise
 		g.fail(q, http.StatusBadGateway, "the endpoint ran the request and answered "+strconv.Itoa(t.answer.Status))
 		return
--- a/role/gateway/quarantine_test.go
+++ b/role/gateway/quarantine_test.go
@@ -18,8 +18,8 @@
 // poison is the body of a request that ends each endpoint that begins to run it.
 const poison = "ends who runs it"
 
-// arrivalInterval is the time between two arrivals of a request. They were 0.1 s apart and more, and the
-// other gateways may take seconds to hear of the third end.
+// arrivalInterval is the time between two arrivals of the same request, at different gateways. Arrivals are
+// at least 0.1 s apart, and the other gateways may take seconds to learn of the third end.
 const arrivalInterval = 100 * time.Millisecond
 
 // fleet is a site with several gateways, in which new endpoints replace those that have ended.
@@ -112,11 +112,13 @@
 	return r
 }
 
-// A request that ended each endpoint that began to run it arrived again and again, each time with another ID
-// and at another gateway, and each gateway sent it up to four times per arrival: in a fleet of 33 endpoints
-// 57 ended in 90 s, and only 4 of 50 requests a second were in time. Gateways identified the request by its
-// ID and judged each endpoint by itself, so nothing connected the ends to the request. Its fingerprint does:
-// each log line of an end ("endpoint does not answer", ended=true) names the same one in begun.
+// A request under which three endpoints have ended is quarantined by its fingerprint, whatever its ID.
+// Without this, a request that ended each endpoint that began to run it arrived again and again, each time
+// with another ID and at another gateway, and each gateway sent it up to four times per arrival: in a fleet
+// of 33 endpoints 57 ended in 90 s, and only 4 of 50 requests a second were in time. Gateways identified the
+// request by its ID and judged each endpoint by itself, so nothing connected the ends to the request. Its
+// fingerprint does: each log line of an end ("endpoint does not answer", ended=true) names the same one in
+// begun.
 func TestRequestThatEndsEndpointsIsQuarantined(t *testing.T) {
 	t.Parallel()
 	for name, start := range map[string]func(*testing.T, int) *fleet{"model": newModelFleet, "plain": newPlainFleet} {
@@ -159,16 +161,16 @@
 	requireLayersInOrder(t, f.fixture)
 }
 
-// Guards against blaming the requests that run beside one that ends endpoints: each end counted for all
-// requests that the endpoint had just begun, and the retries of both went to the same endpoint again. Of 144
-// harmless requests with four repeated bodies 120, 124 and 126 were refused in three runs, for ten minutes.
-// With a body of its own for each request, there were up to 33 lines "request is quarantined" for two
-// requests that ended endpoints.
+// Requests that run beside one that ends endpoints are not quarantined. Without isolation, each end counted
+// for all requests that the endpoint had just begun, and the harmless ones and the others were retried at
+// the same endpoint. Of 144 harmless requests with four repeated bodies, 120, 124 and 126 were refused in
+// three runs, for ten minutes. With a body of its own for each request, there were up to 33 lines "request
+// is quarantined" for two requests that ended endpoints.
 func TestHarmlessRequestsAreNotQuarantined(t *testing.T) {
 	t.Parallel()
 	for name, start := range map[string]func(*testing.T, int) *fleet{"model": newModelFleet, "plain": newPlainFleet} {
-		for _, again := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, bodies repeated %v", name, again), func(t *testing.T) {
+		for _, repeated := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, bodies repeated %v", name, repeated), func(t *testing.T) {
 				t.Parallel()
 				f := start(t, 3)
 				f.site.CrashOn(poison + ", too")
@@ -178,7 +180,7 @@
 					var harmless sync.WaitGroup
 					for i := range beside {
 						body := fmt.Sprint("harmless ", i/len(f.targets))
-						if !again {
+						if !repeated {
 							body = fmt.Sprintf("harmless %d of %d", i, round)
 						}
 						r := f.newRequest(i, body)
--- a/role/gateway/query.go
+++ b/role/gateway/query.go
@@ -26,7 +26,7 @@
 	priority int
 	body     []byte
 	hasBody  bool
-	// print identifies the request when it is sent again under another ID.
+	// print is the fingerprint that identifies the request when it is sent again under another ID.
 	print fingerprint.Fingerprint
 	// version is the version of the configuration that admitted the request.
 	version uint64
@@ -36,8 +36,8 @@
 	start    time.Time
 	deadline time.Time
 
-	// sends counts the endpoints to which the request was sent; ran lists those that may have run
-	// it.
+	// sends counts how often the request was sent to an endpoint; ran lists the endpoints that may
+	// have run it, one entry for each such send.
 	sends int
 	ran   []*backend
 	// last is the endpoint to which it was last sent, nil for none, and sentAt when that was.
@@ -87,21 +87,22 @@
 	avoided map[string]bool
 	// used names the endpoints, for the log.
 	used []string
-	// searched is set once the request has searched for an endpoint. held names the endpoints at
-	// which it would have started but that did not accept it, for the log. next is the one of them,
-	// at the last search, that may accept it first; nil when none is known to.
+	// searched is set once the request has searched for an endpoint. declined names, for the log,
+	// endpoints that did not let it start there at its first search. next is the endpoint that may
+	// accept it first among those that did not accept it at the last search; nil when none is known
+	// to.
 	searched bool
-	held     []string
+	declined []string
 	next     *backend
 	// isolation is the endpoint at which a suspect is tried, isolated from other suspects; empty
 	// for a request that is no suspect.
 	isolation string
-	// fleetFactor is the number of requests of all gateways that are sent again for each one of
-	// this gateway, since all lost the same endpoint; 0 for a single request.
+	// fleetFactor is the ratio of the requests of all gateways that are sent again because their
+	// endpoint is lost to those of this gateway; 0 if only this request is sent again.
 	fleetFactor float64
 }
 
-// setFleetFactor sets the number of requests that are sent again for each one of this gateway.
+// setFleetFactor sets the ratio that the field fleetFactor describes.
 func (q *query) setFleetFactor(n float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -123,8 +124,8 @@
 	return q.next
 }
 
-// availableFrom returns when that endpoint may accept the request, as known at now; now when there
-// is no such endpoint.
+// availableFrom returns when the endpoint of nextAvailable may accept the request, as known at now;
+// it returns now if there is no such endpoint or the time is unknown.
 func (q *query) availableFrom(now time.Time) time.Time {
 	next := q.nextAvailable()
 	if next == nil {
@@ -136,15 +137,14 @@
 	return now
 }
 
-// heldBy returns the endpoints that did not accept the request, for the log.
-func (q *query) heldBy() []string {
+// declinedBy returns the endpoints that did not accept the request, for the log.
+func (q *query) declinedBy() []string {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.held
+	return q.declined
 }
 
-// requestFactor returns the number of requests of all gateways that do the same as this one, for
-// each one of this gateway, at least 1.
+// requestFactor returns the fleetFactor of the request, at least 1.
 func (q *query) requestFactor() float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/role/gateway/reservation.go
+++ b/role/gateway/reservation.go
@@ -18,8 +18,9 @@
 	hopCostInHall      = 0.0003
 	hopCostAcrossHalls = 0.006
 	// remoteEntryCost is the cost of entering a chain in a hall other than the gateway's. It keeps
-	// gateways of different halls from choosing the same chains: under high load the mean worth of
-	// a request was 0.72 at 0.002 and 0.74 at 0.004.
+	// gateways of different halls from choosing the same chains. Under high load, 0.74 of the
+	// possible value of all requests is reached, a late answer counting less, and 0.72 with a cost
+	// of 0.002.
 	remoteEntryCost = 0.004
 	// maxMemoryFactor bounds the cost factor of a nearly full endpoint.
 	maxMemoryFactor = 12
@@ -177,7 +178,7 @@
 // request against its limit.
 func (g *Gateway) findAdmitted(c *chooser, q *query, f *fleet, need int, use candidateFilter) (chain.Chain, bool) {
 	now := time.Now()
-	defer func() { g.noteHeld(q, c.held, now) }()
+	defer func() { g.noteDeclined(q, c.declining, now) }()
 	again := q.hasSearched()
 	c.skipLimited = again
 	for range maxHeldPicks {
@@ -235,8 +236,8 @@
 }
 
 // promptReadTime returns the expected time until the endpoints that were not part of the old
-// reservation have read the prompt. fleetFactor is the number of requests of all gateways for each
-// one of this gateway.
+// reservation have read the prompt. fleetFactor is the ratio of the requests of all gateways that
+// are moved at the same time to those of this gateway.
 func (s *reservation) promptReadTime(q *query, old *reservation, fleetFactor float64) time.Duration {
 	m := q.service.Model
 	parts := make([]failover.Reader, 0, len(s.parts))
--- a/role/gateway/spare_test.go
+++ b/role/gateway/spare_test.go
@@ -11,9 +11,10 @@
 	"github.com/grademill/grademill/standin/site"
 )
 
-// A request that ended endpoints was isolated, for its third end, at the last endpoint with the first
-// layers: each hall had one such endpoint, and two halls had lost theirs to the same request. For 0.7 s no
-// chain could begin anywhere, 87 requests were refused and 124 streams broken off.
+// A suspect is not tried at the only endpoint left that holds the first layers. Without this, where each
+// hall had one such endpoint and two halls had lost theirs to the same request, the request was isolated at
+// the third: for 0.7 s no chain could begin anywhere, 87 requests were refused and 124 streams were broken
+// off.
 func TestSuspectIsIsolatedAtASpareEndpoint(t *testing.T) {
 	halls := []string{"north", "south", "west"}
 	var endpoints []*site.Endpoint
--- a/role/gateway/store_test.go
+++ b/role/gateway/store_test.go
@@ -276,7 +276,8 @@
 	require.NotEmpty(t, answer.Header.Get("Retry-After"))
 }
 
-// One gateway is the leader, which orders layers, at a time; when it ends, another takes over.
+// One gateway at a time is the leader, which orders endpoints to load layers. When it gives up the right,
+// another takes over.
 func TestAnotherGatewayTakesOverAsLeader(t *testing.T) {
 	t.Parallel()
 	w, cards := newModel(t)
@@ -312,12 +313,13 @@
 	})
 }
 
-// delayingStore forwards watch calls to a store, the next one after a delay, and records when they arrive.
+// delayingStore forwards calls to a store. It delays the next watch call, and records when the last one was
+// forwarded.
 type delayingStore struct {
 	store *site.Store
 	// delay is that of the next watch call, in nanoseconds.
 	delay atomic.Int64
-	// queriedAt is when the last one arrived, in nanoseconds of Unix time.
+	// queriedAt is when the last one was forwarded, in nanoseconds of Unix time.
 	queriedAt atomic.Int64
 }
 
@@ -335,9 +337,9 @@
 }
 
 // Gateways that lose the store together notice it one after the other: the watch call of one may have been
-// sent a second before that of another. Until the other's call returns, that gateway seems to have the
-// store, by a freshness proof from before the loss. The first gateway used to send its callers away for as
-// long.
+// sent a second before that of another. Until the call of the other returns, the other still reports a
+// freshness proof, which is from before the loss, and so seems to have the store. Guards against the first
+// gateway sending its callers away until then.
 func TestCallersStayWhenGatewaysLoseTheStoreOutOfStep(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t, plain("a"))
@@ -360,10 +362,10 @@
 }
 
 // A store that stops answering is known to be lost only when a call to it has timed out, and each gateway
-// finds out with its own call. The gateway with the oldest proof found out after 2.5 s, mistook the younger
-// proofs of the others, also from before the loss, for a sign that they had the store, and sent its callers
-// away ("apart":true with "failing":false, "proof_age_ms":2546 and a smaller "holder_proof_age_ms") for as
-// long as the difference in age of the proofs.
+// finds out with its own call. The younger proofs of other gateways are no sign that they have the store,
+// since they may be from before the loss too. Without this, the gateway with the oldest proof, which found
+// out after 2.5 s, sent its callers away for as long as its proof was older than the others' ("apart":true
+// with "failing":false, "proof_age_ms":2546 and a smaller "holder_proof_age_ms").
 func TestCallersStayWhenTheStoreFallsSilent(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t, plain("a"))
@@ -386,8 +388,8 @@
 }
 
 // Digests may be delayed on their way, or stay unread while the process is starved of processor time: the
-// proofs in them then seem younger by as much. A proof from before the loss seemed to be from after it, by
-// more than the 30 ms allowed for, and callers were sent away for 150 ms, until the next digest arrived.
+// proofs in them then seem younger by as much. With a tolerance of 30 ms, a proof from before the loss
+// seemed to be from after it, and callers were sent away for 150 ms, until the next digest arrived.
 func TestDelayedProofIsNoEvidence(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t, plain("a"))
--- a/role/gateway/stream.go
+++ b/role/gateway/stream.go
@@ -93,10 +93,10 @@
 }
 
 // maySendAgain reports whether the request may be sent once more. A stream whose caller already has
-// events is not broken off for lack of room: beyond the usual number of sends it waits until an
-// endpoint that refused may be tried again, for as long as the caller accepts a pause. Without
-// this, in a burst of three times the usual traffic, 24 of 33 streams that were broken off had only
-// been refused.
+// events is not broken off for lack of room: after maxSends, maySendAgain waits for noRoomWait,
+// until an endpoint that refused may be tried again, and allows another send for as long as the
+// caller accepts a pause. Without this, 24 of the 33 streams that were broken off in a burst of
+// three times the usual traffic had only been refused.
 func (s *relay) maySendAgain() bool {
 	if s.q.sends < maxSends {
 		return true
@@ -183,7 +183,7 @@
 }
 
 // attempt sends the request along a chain and passes the events on. It reports whether the request
-// has ended, or else why not.
+// has ended; otherwise it also returns why this attempt failed.
 func (s *relay) attempt(reservation *reservation) (bool, string) {
 	q, g := s.q, s.g
 	q.noteUsed(reservation.chain.String())
@@ -219,7 +219,7 @@
 }
 
 // noteRefusal records which endpoint of a chain refused.
-func (s *relay) noteRefusal(reservation *reservation, t attempt) {
+func (s *relay) noteRefusal(reservation *reservation, t sendResult) {
 	address := reservation.first.Address
 	if t.answer != nil && t.reply.RefusedBy != "" {
 		address = t.reply.RefusedBy
@@ -235,7 +235,9 @@
 		Str("reason", notRunReason(t)).Msg("chain refused the request")
 }
 
-// noteLoss records whether all gateways have lost the first endpoint of an attempt.
+// noteLoss sets the fleetFactor of the request after the loss of an attempt: that of the first
+// endpoint if it is presumed dead, since all gateways then send their requests there again, and 0
+// otherwise.
 func (s *relay) noteLoss(first *backend) {
 	fleetFactor := 0.0
 	if first.use.presumedDead(time.Now()) {
@@ -245,7 +247,7 @@
 }
 
 // passWhole passes on an answer that is not a stream.
-func (s *relay) passWhole(t attempt, reservation *reservation) (bool, string) {
+func (s *relay) passWhole(t sendResult, reservation *reservation) (bool, string) {
 	body, err := t.answer.ReadAll()
 	if err != nil || s.headSent || t.answer.Status >= http.StatusInternalServerError && s.q.route.Repeats() {
 		reservation.first.use.updateHealth(health.Record.WithFailure)
@@ -258,8 +260,8 @@
 }
 
 // events passes events on until the stream ends or breaks. It reports whether the request has
-// ended, or else why not.
-func (s *relay) events(t attempt, reservation *reservation, w *watchdog) (bool, string) {
+// ended; otherwise it also returns why the chain broke.
+func (s *relay) events(t sendResult, reservation *reservation, w *watchdog) (bool, string) {
 	reader := event.Reader{Source: bufio.NewReaderSize(t.answer, eventBuffer), Max: maxEvent}
 	for {
 		e, err := reader.Next()
@@ -279,7 +281,7 @@
 }
 
 // pass writes one event to the caller, preceded by the head if it is the first.
-func (s *relay) pass(t attempt, e event.Event, flush bool) error {
+func (s *relay) pass(t sendResult, e event.Event, flush bool) error {
 	now := time.Now()
 	if !s.headSent {
 		s.head(t)
@@ -306,7 +308,7 @@
 }
 
 // head writes the head of the answer to the caller.
-func (s *relay) head(t attempt) {
+func (s *relay) head(t sendResult) {
 	s.headSent = true
 	s.q.setOutcome(t.answer.Status, outcomeServed, "")
 	copyHeader(s.q.w.Header(), t.answer.Header)
@@ -314,7 +316,7 @@
 }
 
 // finish ends a stream that is complete.
-func (s *relay) finish(t attempt) string {
+func (s *relay) finish(t sendResult) string {
 	if !s.headSent {
 		s.head(t)
 	}
--- a/role/gateway/watchdog.go
+++ b/role/gateway/watchdog.go
@@ -105,8 +105,8 @@
 }
 
 // startWindow is how long a request counts as just started after its first event. A request that
-// crashed the endpoint that started it did so 36 to 109 ms after its start, and the other requests
-// there had mostly started before.
+// crashes the endpoint that starts it does so 36 to 109 ms after its start; most other requests
+// there have started earlier.
 const startWindow = time.Second
 
 // justStarted reports whether the endpoints of the chain may have received the request and had only
@@ -124,8 +124,8 @@
 	return w.movedWhileSuspect || w.relay.q.isolatedAt() == endpoint
 }
 
-// checkSoon schedules a check since an endpoint of the chain has been lost. An event that is not
-// late yet may still arrive, produced before the loss.
+// checkSoon schedules a check because an endpoint of the chain has been lost. The check waits until
+// the next event is later than usual: an event produced before the loss may still be on its way.
 func (w *watchdog) checkSoon() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -189,8 +189,9 @@
 	return allowedPause(w.relay.q.route)
 }
 
-// workingEventAge is how recent an event of another stream must be for its first endpoint to count
-// as working. A delay there is due to load, to which another attempt would add.
+// workingEventAge is how recently an event must have come through an endpoint for the endpoint to
+// count as working. A late event of another stream there is due to load, to which another attempt
+// would add.
 const workingEventAge = 400 * time.Millisecond
 
 // waitedEnough reports whether the attempt has waited long enough for an event.
@@ -205,18 +206,19 @@
 	return now.Sub(last) > pauseWaitFactor*allowedPause(q.route)
 }
 
-// releaseReservation releases the reservation although the attempt goes on: its first endpoint has
-// ended, so that the other endpoints work for it in vain and may be given other layers.
+// releaseReservation releases the reservation although the attempt goes on. The first endpoint has
+// ended, so the other endpoints work for the attempt in vain; once released, they may be given
+// other layers.
 func (w *watchdog) releaseReservation() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.reservation.release()
 }
 
-// switchIfFaster abandons the attempt for one along another chain if the request could be moved,
-// but would be late after the move and is expected much sooner on the other chain. When an endpoint
-// is lost, the few endpoints of its hall that hold the same layers have to read the prompts of all
-// its streams again.
+// switchIfFaster abandons the attempt for one along another chain if, after a move to the
+// reservation moved, the next event would be late, and it is expected much sooner on the other
+// chain. It reports whether it did. When an endpoint is lost, the few endpoints of its hall that
+// hold the same layers have to read the prompts of all its streams again.
 func (w *watchdog) switchIfFaster(old, moved *reservation, lost *backend) bool {
 	if w.final || w.relay.g.suspected(w.relay.q) {
 		return false
@@ -266,7 +268,8 @@
 
 // abandon ends the attempt if the request can be sent along another chain at once, and reports
 // whether it did. Otherwise the attempt goes on: the event may still arrive in time, and without
-// another chain nothing is gained by ending it.
+// another chain nothing is gained by ending it. The attempt of a suspect ends without another chain
+// once its first endpoint is down: its next attempt is isolated.
 func (w *watchdog) abandon(reservation *reservation) bool {
 	if w.final || !w.relay.g.maySend(w.relay.q) {
 		return false
