--- a/adapter/adminhttp/server.go
+++ b/adapter/adminhttp/server.go
@@ -37,7 +37,12 @@
 
 // Changer applies changes to the configuration.
 type Changer interface {
+	// Change applies c and returns its revision. The object must be at revision *match, 0 if
+	// it must not exist; nil allows any. A change whose id the head of the log contains
+	// already is not applied again.
 	Change(ctx context.Context, id string, c config.Change, match *uint64) (uint64, error)
+	// Find returns the revision of the change with an ID, 0 if neither the recent changes nor
+	// the head of the log contain it.
 	Find(ctx context.Context, id string) (uint64, error)
 }
 
@@ -85,7 +90,7 @@
 		return mux
 	}
 	mux.HandleFunc("GET /admin/v1/status", s.operator(s.status))
-	mux.HandleFunc("GET /admin/v1/writes/{id}", s.operator(s.write))
+	mux.HandleFunc("GET /admin/v1/writes/{id}", s.operator(s.writeOutcome))
 	mux.HandleFunc("GET /admin/v1/{kind}", s.operator(s.list))
 	mux.HandleFunc("GET /admin/v1/{kind}/{name}", s.operator(s.get))
 	mux.HandleFunc("PUT /admin/v1/{kind}/{name}", s.operator(s.change))
@@ -275,8 +280,8 @@
 	}
 }
 
-// write serves the outcome of an earlier change, found by its write ID.
-func (s *Server) write(w http.ResponseWriter, r *http.Request, _ string) {
+// writeOutcome serves the outcome of an earlier change, found by its write ID.
+func (s *Server) writeOutcome(w http.ResponseWriter, r *http.Request, _ string) {
 	id := r.PathValue("id")
 	revision, err := s.Changes.Find(r.Context(), id)
 	switch {
--- a/adapter/hostclock/hostclock.go
+++ b/adapter/hostclock/hostclock.go
@@ -1,6 +1,6 @@
 // Package hostclock reads a monotonic clock that keeps running while the host is suspended.
-// The monotonic clock of package time stops during a suspension, so that a proof of freshness
-// from before it would seem as recent as it was then.
+// The monotonic clock of package time stops during a suspension, so a proof of freshness
+// would not age during it.
 package hostclock
 
 import (
--- a/adapter/ingress/server_test.go
+++ b/adapter/ingress/server_test.go
@@ -130,7 +130,7 @@
 		}
 		if err != nil {
 			require.NotErrorIs(t, err, os.ErrDeadlineExceeded)
-			require.EqualValues(t, 1, served.Load(), "a request that crosses the end is not served")
+			require.EqualValues(t, 1, served.Load(), "a request sent while its connection is being closed is not served")
 			continue
 		}
 		require.True(t, answer.Close)
--- a/adapter/link/set.go
+++ b/adapter/link/set.go
@@ -28,15 +28,16 @@
 )
 
 // Set holds the connections to all peers. Set the exported fields before the first use. A
-// connection that breaks loses the messages queued on it: Set calls OnDisconnect, and the next
-// message opens a new connection.
+// connection that breaks or cannot be opened loses the messages queued on it: Set calls
+// OnDisconnect, and the next message opens a new connection.
 type Set struct {
 	// Name and Incarnation identify this process in the hello.
 	Name        string
 	Incarnation uint64
-	// OnDisconnect is called when the connection to a peer breaks, without locks held.
+	// OnDisconnect is called when the connection to a peer breaks or cannot be opened,
+	// without locks held.
 	OnDisconnect func(address string)
-	// Log receives a line for each broken connection.
+	// Log receives a line for each connection that breaks or cannot be opened.
 	Log zerolog.Logger
 
 	mu     sync.Mutex
@@ -124,7 +125,7 @@
 
 // run sends p's messages until the connection breaks.
 func (s *Set) run(ctx context.Context, p *peer) {
-	err := p.carry(ctx, s)
+	err := p.send(ctx, s)
 	p.cancel()
 	s.mu.Lock()
 	if s.peers[p.address] == p {
@@ -167,13 +168,13 @@
 	count   int
 	wake    chan struct{}
 	cancel  context.CancelFunc
-	// connected is set once the connection is established; only the goroutine of carry uses
+	// connected is set once the connection is established; only the goroutine of send uses
 	// it.
 	connected bool
 }
 
-// carry opens the connection and writes batches until ctx ends or the connection breaks.
-func (p *peer) carry(ctx context.Context, s *Set) error {
+// send opens the connection and writes batches until ctx ends or the connection breaks.
+func (p *peer) send(ctx context.Context, s *Set) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", p.address)
 	if err != nil {
--- a/adapter/probe/prober.go
+++ b/adapter/probe/prober.go
@@ -26,9 +26,9 @@
 	// AwaitAnswer returns the reason to give up a request, or nil once answered is closed. If
 	// nil, the function AwaitAnswer of this package is used.
 	AwaitAnswer func(answered <-chan struct{}) error
-	// Reference returns the address of another live endpoint, empty for none. An endpoint that
-	// seems silent is compared with it: if neither answers in time, the network path is
-	// congested.
+	// Reference returns the address of another live endpoint, empty for none. It is asked
+	// when an endpoint seems silent: if it does not answer in time either, the network path
+	// is taken to be congested.
 	Reference func(address string) string
 
 	mu   sync.Mutex
@@ -38,7 +38,7 @@
 // probe is the last report of an endpoint. Its mutex is held while the endpoint is asked.
 type probe struct {
 	mu sync.Mutex
-	// begun is when the request was sent, at when it was answered.
+	// begun is when the request was sent, at when it was answered or given up.
 	begun, at time.Time
 	report    runner.Report
 	err       error
@@ -53,23 +53,23 @@
 // QuerySince is like Query, but does not use the answer to a request sent before since, which
 // cannot show what has happened up to then.
 func (p *Prober) QuerySince(ctx context.Context, address string, since time.Time) (runner.Report, error) {
-	entry := p.probeOf(address)
-	entry.mu.Lock()
-	defer entry.mu.Unlock()
-	if time.Since(entry.at) < reportLifetime && !entry.begun.Before(since) {
-		return entry.report, entry.err
+	last := p.probeOf(address)
+	last.mu.Lock()
+	defer last.mu.Unlock()
+	if time.Since(last.at) < reportLifetime && !last.begun.Before(since) {
+		return last.report, last.err
 	}
-	entry.begun = time.Now()
+	last.begun = time.Now()
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	defer cancel(nil)
 	answered := make(chan struct{})
 	defer close(answered)
-	silence := p.AwaitAnswer
-	if silence == nil {
-		silence = AwaitAnswer
+	awaitAnswer := p.AwaitAnswer
+	if awaitAnswer == nil {
+		awaitAnswer = AwaitAnswer
 	}
 	go func() {
-		err := silence(answered)
+		err := awaitAnswer(answered)
 		if err != nil && !errors.Is(err, ErrUncertain) {
 			err = p.compare(ctx, address, err, answered)
 		}
@@ -77,17 +77,17 @@
 			cancel(err)
 		}
 	}()
-	entry.report, entry.err = p.Control.Report(ctx, address)
-	if entry.err != nil {
-		entry.err = noAnswerReason(ctx, entry.err)
+	last.report, last.err = p.Control.Report(ctx, address)
+	if last.err != nil {
+		last.err = noAnswerReason(ctx, last.err)
 	}
-	entry.at = time.Now()
-	return entry.report, entry.err
+	last.at = time.Now()
+	return last.report, last.err
 }
 
 // compare returns the reason to give up an endpoint that seems silent, or nil once it has
-// answered. The endpoint was asked before the reference: if the path was congested, its answer
-// arrives first.
+// answered. The endpoint was asked before the reference, so if the path was merely
+// congested, the endpoint's answer arrives first.
 func (p *Prober) compare(ctx context.Context, address string, silent error, answered <-chan struct{}) error {
 	if p.Reference == nil {
 		return silent
--- a/adapter/probe/refusal.go
+++ b/adapter/probe/refusal.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// connectTimeout bounds a connection that only shows whether a process listens: hosts are a
-// few milliseconds apart.
+// connectTimeout bounds an attempt to connect that only shows whether a process listens:
+// hosts are a few milliseconds apart.
 const connectTimeout = 300 * time.Millisecond
 
-// ConnectionRefused reports whether the host at address refuses connections, so that the
-// process has ended. Silence proves nothing.
+// ConnectionRefused reports whether the host at address refuses connections, which shows
+// that the process has ended. It also returns false if no answer comes, which shows
+// nothing.
 func ConnectionRefused(ctx context.Context, address string) bool {
 	dialer := net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
 	c, err := dialer.DialContext(ctx, "tcp", address)
--- a/adapter/probe/silence.go
+++ b/adapter/probe/silence.go
@@ -17,25 +17,26 @@
 	// readGrace is extra time to read answers that arrived while this process was starved:
 	// some hosts get their processor in slices of a tenth of a second.
 	readGrace = 10 * time.Millisecond
-	// maxSpans is the number of waits after which a starved process gives up.
+	// maxSpans is the number of spans after which a starved process gives up. A span is one
+	// wait for the answer, of answerTimeout and readGrace.
 	maxSpans = 4
-	// maxBusy is the share of a processor above which a process may be starved: hosts have
-	// from 0.14 of a processor, and a calm gateway uses 0.03.
+	// maxBusy is the share of a processor above which a process may be starved: a host has
+	// at least 0.14 of a processor, and a calm gateway uses 0.03.
 	maxBusy = 0.1
-	// maxTimerDelay is the maximum total delay of a span's timers in a process that is not
-	// starved. It is 2 ms in a calm gateway, 3 to 7 ms in one that loads a large
+	// maxTimerDelay is the total delay of a span's timers up to which a process counts as
+	// not starved. The delay is 2 ms in a calm gateway, 3 to 7 ms in one that loads a large
 	// configuration, and at least 27 ms in one that gets a fifth of its processor.
 	maxTimerDelay = 2500 * time.Microsecond
-	// maxTimerDelayBusy is the same for a process that is busy in every span; above it the
-	// result is uncertain.
+	// maxTimerDelayBusy is the limit for the last span if every span was busy or had late
+	// timers. Up to it the endpoint counts as silent; above it the result is uncertain.
 	maxTimerDelayBusy = 8 * time.Millisecond
 )
 
 // AwaitAnswer waits for answered to be closed and returns nil once it is. It returns a
 // *SilentError if a span passes without an answer while this process used little processor
 // time and its timers fired on time. In a starved process the answer may lie unread, so
-// AwaitAnswer waits again; after maxSpans it judges by the timer delay alone and returns ErrUncertain
-// if that is too long.
+// AwaitAnswer waits again. After maxSpans it judges by the timer delay of the last span
+// alone, and returns ErrUncertain if that exceeds maxTimerDelayBusy.
 func AwaitAnswer(answered <-chan struct{}) error {
 	var timerDelay time.Duration
 	busy := 0.0
@@ -79,6 +80,6 @@
 	return fmt.Sprintf("no answer in time while this process used %.3f of a processor", e.Busy)
 }
 
-// ErrUncertain reports that no answer was seen, but that this process was starved of processor
-// time or the network path congested, so that the endpoint may have answered.
-var ErrUncertain = errors.New("this process was starved of processor time, so it is uncertain whether the endpoint answered")
+// ErrUncertain reports that no answer was seen, but that this process was starved of
+// processor time or the network path was congested, so that the endpoint may have answered.
+var ErrUncertain = errors.New("this process was starved of processor time or the network path was congested, so it is uncertain whether the endpoint answered")
--- a/adapter/upstream/call.go
+++ b/adapter/upstream/call.go
@@ -25,8 +25,9 @@
 	HasBody bool
 	// MaxIdle is the maximum time that a connection may have been idle to be reused.
 	MaxIdle time.Duration
-	// Matches reports whether a response with these headers belongs to this request. Other
-	// responses are skipped, since an endpoint may answer a request twice.
+	// Matches reports whether a response with these headers belongs to this request; nil
+	// accepts every response. An endpoint may answer a request twice, so up to maxStray
+	// other responses are skipped.
 	Matches func(http.Header) bool
 	// BeforeWrite, if set, is called just before the request is written: from then on the
 	// endpoint may receive it.
@@ -52,7 +53,8 @@
 	return e.Err
 }
 
-// StrayResponseError reports more responses that belong to other requests than are skipped.
+// StrayResponseError reports that only responses to other requests arrived: more than
+// maxStray of them, or one after which the endpoint closes the connection.
 type StrayResponseError struct {
 	Status int
 }
@@ -203,7 +205,8 @@
 	return defaultIdle
 }
 
-// maxBody is the maximum number of bytes read from a body that is read at once.
+// maxBody is the maximum number of bytes that ReadAll reads from a body, and that are read
+// to skip the body of a response to another request.
 const maxBody = 16 << 20
 
 // Read reads the body. It returns io.EOF only at the body's proper end; a truncated body ends
@@ -216,7 +219,8 @@
 	return n, err
 }
 
-// ReadAll reads the body, at most maxBody bytes of it.
+// ReadAll reads the body. It returns only the first maxBody bytes of a longer one, without
+// an error.
 func (a *Answer) ReadAll() ([]byte, error) {
 	return io.ReadAll(io.LimitReader(a, maxBody))
 }
--- a/adapter/upstream/pool.go
+++ b/adapter/upstream/pool.go
@@ -21,7 +21,8 @@
 	keepAliveMargin = 800 * time.Millisecond
 	// defaultIdle is the maximum idle time if the endpoint sends no Keep-Alive timeout.
 	defaultIdle = 4 * time.Second
-	// readBuffer holds the head of a response and a few events.
+	// readBuffer is the size in bytes of a connection's read buffer: enough for the head of
+	// a response and a few events.
 	readBuffer = 2048
 )
 
--- a/cmd/grademill/explain.go
+++ b/cmd/grademill/explain.go
@@ -12,8 +12,8 @@
 	"github.com/grademill/grademill/decide/requestlog"
 )
 
-// defaultLookback is how long before a request the gateways' findings about
-// endpoints still bear on it: a gateway avoids a slow endpoint for at most 12 s.
+// defaultLookback is how long before a request a gateway's finding about an
+// endpoint can still affect it: a gateway avoids a slow endpoint for at most 12 s.
 const defaultLookback = 15 * time.Second
 
 type explainCommand struct{ before time.Duration }
--- a/cmd/grademill/roles.go
+++ b/cmd/grademill/roles.go
@@ -33,25 +33,25 @@
 
 // Defaults of settings that the file omits.
 const (
-	defaultDrain       = 2 * time.Minute
-	defaultQueue       = 4096
-	defaultDeadline    = 2 * time.Minute
-	defaultMinStall    = 150 * time.Millisecond
-	defaultMaxStall    = 5 * time.Second
-	defaultRecoverWait = 3 * time.Second
-	defaultExpiry      = 5 * time.Second
-	defaultSync        = time.Second
-	defaultList        = 5 * time.Second
-	defaultRetryShare  = 0.1
-	defaultReserve     = 20
-	defaultRetryWindow = time.Minute
-	defaultClaimKeep   = time.Hour
-	defaultCallKeep    = defaultClaimKeep + 10*time.Minute
-	defaultOrderLease  = 6 * time.Second
-	defaultWatchers    = 2
-	defaultSubset      = 12
-	defaultHeartbeat   = time.Second
-	defaultSessions    = 128
+	defaultDrain        = 2 * time.Minute
+	defaultQueue        = 4096
+	defaultDeadline     = 2 * time.Minute
+	defaultMinStall     = 150 * time.Millisecond
+	defaultMaxStall     = 5 * time.Second
+	defaultRecoverWait  = 3 * time.Second
+	defaultExpiry       = 5 * time.Second
+	defaultSyncInterval = time.Second
+	defaultListInterval = 5 * time.Second
+	defaultRetryShare   = 0.1
+	defaultReserve      = 20
+	defaultRetryWindow  = time.Minute
+	defaultClaimKeep    = time.Hour
+	defaultCallKeep     = defaultClaimKeep + 10*time.Minute
+	defaultOrderLease   = 6 * time.Second
+	defaultWatchers     = 2
+	defaultSubset       = 12
+	defaultHeartbeat    = time.Second
+	defaultSessions     = 128
 )
 
 // newLog returns the logger of a process, which writes JSON to standard error.
@@ -122,7 +122,7 @@
 		MaxQueue: orDefault(s.MaxQueue, defaultQueue), MaxDeadline: s.MaxDeadline.Or(defaultDeadline),
 		MinStall: s.MinStall.Or(defaultMinStall), MaxStall: s.MaxStall.Or(defaultMaxStall),
 		RecoverWait: s.RecoverWait.Or(defaultRecoverWait), Expiry: s.Expiry.Or(defaultExpiry),
-		Sync: s.Sync.Or(defaultSync), HostListInterval: defaultList, Watchers: defaultWatchers,
+		Sync: s.Sync.Or(defaultSyncInterval), HostListInterval: defaultListInterval, Watchers: defaultWatchers,
 		Retries: retry.Budget{
 			Share: orDefault(s.RetryShare, defaultRetryShare), Window: defaultRetryWindow,
 			Reserve: orDefault(s.RetryReserve, defaultReserve),
@@ -146,7 +146,7 @@
 	return e
 }
 
-// orDefault returns value, orDefault otherwise when value is zero.
+// orDefault returns value, or fallback if value is zero.
 func orDefault[T comparable](value, fallback T) T {
 	var zero T
 	if value == zero {
@@ -178,7 +178,8 @@
 	defaultLinkLatency = time.Millisecond
 )
 
-// linkLatencies returns the one-way latency between halls according to the settings.
+// linkLatencies returns a function that gives the one-way latency between two halls
+// according to the settings.
 func linkLatencies(links []settings.Link) route.Links {
 	times := make(map[[2]string]time.Duration)
 	for _, l := range links {
--- a/cmd/measure/ends.go
+++ b/cmd/measure/ends.go
@@ -6,8 +6,8 @@
 	"github.com/grademill/grademill/decide/outcome"
 )
 
-// outcomeName returns the name of the outcome of a request. That of a request whose entry
-// was killed is "lost".
+// outcomeName returns the name of the outcome of a request, or "lost" if its entry was
+// killed.
 func outcomeName(r result) string {
 	report, ok := outcome.Of(r.err)
 	if !ok {
@@ -32,20 +32,20 @@
 	return n
 }
 
-// Length of the window over which throughput is compared, and the step by which it
-// moves.
+// recoveryWindow is the period over which recoveryTime averages the throughput,
+// recoveryStep the distance between the starts of two consecutive periods.
 const (
-	backWindow = time.Second
-	backStep   = 50 * time.Millisecond
+	recoveryWindow = time.Second
+	recoveryStep   = 50 * time.Millisecond
 )
 
 // recoveryTime returns the time from at until the throughput over the next second is
 // within 5% of that at the end of the run, or recoveryAfter if it never is.
 func (t *trial) recoveryTime(at time.Time) time.Duration {
 	end := at.Add(recoveryAfter)
-	level := t.rate(end.Add(-2*backWindow), end)
-	for from := at; from.Add(backWindow).Before(end); from = from.Add(backStep) {
-		if t.rate(from, from.Add(backWindow)) >= 0.95*level {
+	level := t.rate(end.Add(-2*recoveryWindow), end)
+	for from := at; from.Add(recoveryWindow).Before(end); from = from.Add(recoveryStep) {
+		if t.rate(from, from.Add(recoveryWindow)) >= 0.95*level {
 			return from.Sub(at)
 		}
 	}
--- a/cmd/measure/overload.go
+++ b/cmd/measure/overload.go
@@ -32,8 +32,8 @@
 	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "site\tload\ttokens/s\tof the bound\tadmitted\trefused\trefused in p95\tlarge team/small team\theap MB")
 	for _, s := range []site{ramdin, greenbough} {
-		for _, times := range []float64{1, 3} {
-			if err := c.measure(ctx, out, s, times); err != nil {
+		for _, factor := range []float64{1, 3} {
+			if err := c.measure(ctx, out, s, factor); err != nil {
 				fmt.Fprintln(os.Stderr, err)
 				return subcommands.ExitFailure
 			}
@@ -45,17 +45,17 @@
 // overloadQueue is the queue limit of an entry, about two seconds of work.
 const overloadQueue = 64
 
-func (c *overloadCommand) measure(ctx context.Context, out *tabwriter.Writer, s site, times float64) error {
+func (c *overloadCommand) measure(ctx context.Context, out *tabwriter.Writer, s site, factor float64) error {
 	l, err := s.openWith(ctx, nil, overloadQueue)
 	if err != nil {
 		return err
 	}
 	defer l.Close()
 	t := &trial{site: s, lab: l}
-	load, cancel := context.WithTimeout(ctx, c.window)
+	loadCtx, cancel := context.WithTimeout(ctx, c.window)
 	defer cancel()
 	begin := time.Now()
-	t.open(load, times*s.bound(l.Engines))
+	t.open(loadCtx, factor*s.bound(l.Engines))
 	from, to := begin.Add(c.window/2), begin.Add(c.window)
 	rate := t.rate(from, to)
 	admitted, refused := make(map[string]int), []time.Duration(nil)
@@ -79,7 +79,7 @@
 	share := float64(admitted["team-0"]+admitted["team-1"]) / 2 / (float64(small) / 8)
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	fmt.Fprintf(out, "%s\t%.0f times the bound\t%.0f\t%.3f\t%d\t%d\t%v\t%.2f\t%d\n", s.name, times, rate,
+	fmt.Fprintf(out, "%s\t%.0f times the bound\t%.0f\t%.3f\t%d\t%d\t%v\t%.2f\t%d\n", s.name, factor, rate,
 		rate/(s.bound(l.Engines)*float64(s.answer)), total, len(refused),
 		quantile(refused, 0.95).Round(time.Millisecond), share, memory.HeapAlloc>>20)
 	return out.Flush()
--- a/cmd/measure/placements.go
+++ b/cmd/measure/placements.go
@@ -38,7 +38,7 @@
 	f.Uint64Var(&c.seed, "seed", 1, "random seed")
 }
 
-// cardKinds holds the cardKinds of accelerator cards in the users' deployments.
+// cardKinds holds the kinds of accelerator cards in the users' deployments, by name.
 var cardKinds = map[string]catalog.Card{
 	"a100": {Memory: 72000, TokenTimeFactor: 2.4, PromptTimeFactor: 3.2}, "l40s": {Memory: 43200, TokenTimeFactor: 5.6, PromptTimeFactor: 2.7},
 	"l4": {Memory: 21600, TokenTimeFactor: 16, PromptTimeFactor: 8.2},
@@ -47,7 +47,7 @@
 // drawnModel is the model of the users' deployments.
 var drawnModel = &catalog.Model{Layers: 80, LayerSize: 1750, TokenSize: 0.918, Cards: cardKinds}
 
-// placementStrategy is a way to place layers on the cards of a hall.
+// placementStrategy is a strategy for placing layers on the cards of a hall.
 type placementStrategy struct {
 	name  string
 	place func([]placement.Card) []placement.Card
@@ -130,9 +130,9 @@
 	return sum
 }
 
-// roomBound returns the upper bound of the number of tokens with cached state in a
-// hall: those that fit in 0.4 of the memory, which copies of the model leave free,
-// if every layer has the same room.
+// roomBound returns an upper bound on the number of tokens whose state a hall can
+// cache: the number that fits in 0.4 of the memory, the part that copies of the model
+// leave free, if every layer has the same room.
 func roomBound(cards []placement.Card) float64 {
 	return 0.4 * memoryOf(cards) / drawnModel.TokenSize
 }
--- a/cmd/measure/recovery.go
+++ b/cmd/measure/recovery.go
@@ -116,7 +116,7 @@
 		_, dead := gone.Load(l.Entries[i].Name)
 		return !dead
 	}}
-	load, cancel := context.WithTimeout(ctx, recoveryWarmUp+recoveryAfter)
+	loadCtx, cancel := context.WithTimeout(ctx, recoveryWarmUp+recoveryAfter)
 	defer cancel()
 	go func() {
 		time.Sleep(recoveryWarmUp)
@@ -125,7 +125,7 @@
 			gone.Store(name, true)
 		}
 	}()
-	t.open(load, c.share*s.bound(l.Engines))
+	t.open(loadCtx, c.share*s.bound(l.Engines))
 	at := time.Unix(0, injectedAt.Load())
 	report(out, t, f, at)
 	return out.Flush()
--- a/cmd/measure/site.go
+++ b/cmd/measure/site.go
@@ -86,9 +86,9 @@
 	return engines
 }
 
-// bound returns the upper bound of the requests a second that the engines can
-// serve: the maximum flow through the layers, if each request takes from an engine
-// its share of full batches and the time of its positions.
+// bound returns an upper bound on the number of requests per second that the engines
+// can serve: the maximum flow through the layers, where a request costs an engine its
+// share of full batches plus the time of its positions.
 func (s site) bound(engines []lab.Engine) float64 {
 	n := flow.Network{Layers: s.layers}
 	for _, e := range engines {
--- a/cmd/measure/slopes_live.go
+++ b/cmd/measure/slopes_live.go
@@ -105,11 +105,11 @@
 	defer l.Close()
 	before := memoryInUse()
 	t := &trial{site: s, lab: l}
-	load, cancel := endAfter(ctx, 2*settleTime)
+	loadCtx, cancel := endAfter(ctx, 2*settleTime)
 	defer cancel()
 	ended := make(chan struct{})
 	go func() {
-		t.holdInFlight(load, n, 0)
+		t.holdInFlight(loadCtx, n, 0)
 		close(ended)
 	}()
 	time.Sleep(settleTime)
@@ -176,10 +176,10 @@
 	defer l.Close()
 	const span = 4 * time.Second
 	t := &trial{site: ramdin, lab: l}
-	load, cancel := endAfter(ctx, span)
+	loadCtx, cancel := endAfter(ctx, span)
 	defer cancel()
 	begin := cputime.Used()
-	t.holdInFlight(load, inFlight, 0)
+	t.holdInFlight(loadCtx, inFlight, 0)
 	used := cputime.Used() - begin
 	tokens := max(len(t.deliveries), 1)
 	return used / time.Duration(tokens), float64(tokens) / span.Seconds(), nil
--- a/cmd/measure/throughput.go
+++ b/cmd/measure/throughput.go
@@ -119,8 +119,8 @@
 	bound := v.bound(l.Engines) * float64(v.answer)
 	failed, causes := 0, make(map[outcome.Code]int)
 	for _, r := range t.results {
-		report, ended := outcome.Of(r.err)
-		if ended && r.end.Before(from.Add(c.window)) {
+		report, isFailure := outcome.Of(r.err)
+		if isFailure && r.end.Before(from.Add(c.window)) {
 			failed++
 			causes[report.Code]++
 		}
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -62,8 +62,8 @@
 		e.Killed, len(e.Answer.Tokens), tokens, e.Answer.Attempts, e.Answer.ChainBefore, e.Answer.ChainAfter)
 }
 
-// Run runs the demo. It returns a NotResumedError if the answer whose agent is killed is incomplete or
-// wrong, or came along only one chain.
+// Run runs the demo. It returns a NotResumedError if the answer during which an agent is killed is
+// incomplete or wrong, or was produced by only one chain.
 func (d *Demo) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -40,7 +40,8 @@
 	// adds, and MaxBatch the largest number of steps in a batch.
 	Base, PerToken time.Duration
 	MaxBatch       int
-	PrefixBlocks   int
+	// PrefixBlocks is the size of the engine's prefix cache in blocks; 0 for no cache.
+	PrefixBlocks int
 }
 
 // Plain describes an endpoint of a plain service and its agent.
@@ -73,8 +74,9 @@
 	MaxQueue int
 	// Heartbeat is the interval between two reports of an agent.
 	Heartbeat time.Duration
-	// WaitFactor bounds the time of a step including its wait for a batch, as a
-	// multiple of the duration of a step.
+	// WaitFactor is the target for the time of a step including its wait for a
+	// batch, as a multiple of the time of the step alone; 0 for the agents'
+	// default.
 	WaitFactor float64
 	// MaxSessions is the largest number of sessions of an agent.
 	MaxSessions int
--- a/standin/site/endpoint.go
+++ b/standin/site/endpoint.go
@@ -125,7 +125,7 @@
 	e.dead = true
 }
 
-// Revive makes a killed endpoint answer again.
+// Revive makes an endpoint answer again after Silence.
 func (e *Endpoint) Revive() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/site/model.go
+++ b/standin/site/model.go
@@ -142,8 +142,7 @@
 	}
 }
 
-// reportsStall reports whether a stall of a stream is old enough, at ReportLag, to
-// show in a report.
+// reportsStall reports whether a stream has stalled for at least ReportLag, so that reports show it.
 func (e *Endpoint) reportsStall(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/site/says.go
+++ b/standin/site/says.go
@@ -71,8 +71,8 @@
 	LimitGrace = 3 * time.Second
 )
 
-// Allowed returns the largest number of requests that an endpoint with a limit of so many requests a
-// second may get within LimitSpan: 1.5 times the limit, plus five.
+// Allowed returns the largest number of requests that an endpoint with a limit in requests per second
+// may get within LimitSpan: 1.5 times the number that the limit allows in that time, plus five.
 func Allowed(limit float64) int {
 	return int(1.5*limit*LimitSpan.Seconds()) + 5
 }
@@ -88,12 +88,12 @@
 
 // MaxWithinBackoff returns the largest number of requests that arrived in one backoff period, not counting
 // those within RetryAfterGrace of its start. Each of times, in ascending order, begins a period of length rest.
-func MaxWithinBackoff(times []time.Time, rest time.Duration) int {
+func MaxWithinBackoff(times []time.Time, backoff time.Duration) int {
 	most := 0
 	for i, asked := range times {
 		n := 0
 		for _, at := range times[i+1:] {
-			if d := at.Sub(asked); d > RetryAfterGrace && d < rest {
+			if d := at.Sub(asked); d > RetryAfterGrace && d < backoff {
 				n++
 			}
 		}
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -16,10 +16,11 @@
 	StoreAddress string
 	// Layers is the number of layers of the model.
 	Layers int
-	// CrashSilently makes endpoints stop answering under requests marked by CrashOn, like a host that loses
-	// power, instead of refusing connections.
+	// CrashSilently makes an endpoint that runs a request marked by CrashOn stop answering, like a host
+	// that loses power. Otherwise it refuses connections, like a host whose process has ended.
 	CrashSilently bool
-	// BeforeCrash, if set, is called before an endpoint ends under a request marked by CrashOn.
+	// BeforeCrash, if set, is called before an endpoint ends because it runs a request marked by
+	// CrashOn.
 	BeforeCrash func(*Endpoint)
 
 	mu sync.Mutex // guards what follows
@@ -32,9 +33,9 @@
 	faults []string
 	// modes holds the modes of the next requests, by service.
 	modes map[string][]Mode
-	// crashes holds the bodies of requests that end an endpoint when it begins to run them, and
-	// crashesMoved of those that end the stages to which they are moved; crashed lists the endpoints
-	// that have ended so.
+	// crashes holds the bodies marked by CrashOn: an endpoint that begins to run such a request ends.
+	// crashesMoved holds those marked by CrashOnMove: an endpoint to which such a request is moved ends.
+	// crashed lists the endpoints that have ended in either way.
 	crashes, crashesMoved map[string]bool
 	crashed               []*Endpoint
 }
@@ -232,7 +233,7 @@
 	s.Store.Set("servers/"+e.ID, r)
 }
 
-// endpointAt returns the endpoint endpointAt an address, nil for none.
+// endpointAt returns the endpoint at an address, or nil if there is none.
 func (s *Site) endpointAt(address string) *Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/site/store.go
+++ b/standin/site/store.go
@@ -28,7 +28,8 @@
 type Fault struct {
 	// Status, if not 0, is the status with which the call is refused without effect.
 	Status int
-	// Silent gives no answer. The call has no effect, unless Applied is set.
+	// Silent means that the call gets no answer and has no effect. If Applied is set as well, the call
+	// has its effect and only the answer is lost; Applied alone does nothing.
 	Silent, Applied bool
 	// Delay is added before the call.
 	Delay time.Duration
@@ -57,7 +58,7 @@
 // protected lists the prefixes of keys that only operators and endpoints may write.
 var protected = []string{"op/", "servers/"}
 
-// Set writes the JSON encoding of value to a key, also a protected one.
+// Set writes the JSON encoding of value to a key, even to a protected one.
 func (s *Store) Set(key string, value any) {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -80,7 +81,7 @@
 	s.put(key, value, 0)
 }
 
-// Remove removes a key, also a protected one.
+// Remove removes a key, even a protected one.
 func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/test/e2e/config_test.go
+++ b/test/e2e/config_test.go
@@ -24,8 +24,9 @@
 	body     string
 }
 
-// race makes operators change one policy concurrently through all entries, n times each.
-func (w *world) race(operators, n int, between func(round int)) []result {
+// race makes operators change one policy concurrently through all entries, in n rounds of one
+// change each. It calls during, if not nil, in every round while the changes are in progress.
+func (w *world) race(operators, n int, during func(round int)) []result {
 	var mu sync.Mutex
 	var all []result
 	for round := range n {
@@ -41,8 +42,8 @@
 				mu.Unlock()
 			})
 		}
-		if between != nil {
-			between(round)
+		if during != nil {
+			during(round)
 		}
 		group.Wait()
 	}
--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -153,7 +153,7 @@
 	w.setFault(platform.Fault{Down: true})
 	run(requests, tokens, w.entries...).whole(t)
 	// A process that starts during the outage learns the configuration and the endpoints from peers.
-	w.addEntriesDuringOutage("entry-3")
+	w.addEntryDuringOutage("entry-3")
 	w.ready(w.entries[2], 6)
 	run(requests, tokens, w.entries[2]).whole(t)
 	w.setFault(platform.Fault{})
--- a/test/e2e/load_test.go
+++ b/test/e2e/load_test.go
@@ -50,7 +50,8 @@
 	return l
 }
 
-// whole checks that every caller received the complete answer to its own request.
+// whole waits for all responses and checks that every caller received the complete answer to its
+// own request.
 func (l *load) whole(t *testing.T) {
 	t.Helper()
 	l.group.Wait()
@@ -83,7 +84,7 @@
 			}
 		}
 		return len(seen) >= requests
-	}, "%d requests have begun", requests)
+	}, "%d requests have started", requests)
 }
 
 // attempt identifies one attempt of a request at one engine.
--- a/test/e2e/world_test.go
+++ b/test/e2e/world_test.go
@@ -524,9 +524,9 @@
 	return a
 }
 
-// addEntriesDuringOutage starts one more entry that cannot reach the platform,
+// addEntryDuringOutage starts one more entry that cannot reach the platform,
 // and waits until it has learned the configuration from its peers.
-func (w *world) addEntriesDuringOutage(name string) {
+func (w *world) addEntryDuringOutage(name string) {
 	w.addEntries(name)
 	w.eventually(func() bool {
 		s := w.status(w.entries[len(w.entries)-1])
--- a/test/histories/config_test.go
+++ b/test/histories/config_test.go
@@ -208,6 +208,8 @@
 				continue
 			}
 			op.Output = changeResult{accepted: record.Revision}
+			// The change may have taken effect at any time after the call, so the operation has
+			// no upper bound.
 			op.Return = time.Now().Add(time.Hour * 24 * 365 * 200).UnixNano()
 		}
 		settled = append(settled, op)
--- a/test/histories/once_test.go
+++ b/test/histories/once_test.go
@@ -79,6 +79,7 @@
 	time.Sleep(d)
 }
 
+// chance returns true with probability 1/n.
 func (s *cluster) chance(n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/test/histories/steps_test.go
+++ b/test/histories/steps_test.go
@@ -25,7 +25,8 @@
 	pathMaxEvents   = 4000
 )
 
-// message is a step sent to a stage, or a token sent to the owner.
+// message is a step sent to a stage, or a token sent to the owner: the entry that assembles the
+// answer.
 type message struct {
 	toOwner bool
 	stage   int
@@ -46,11 +47,13 @@
 // path is one request along a chain, over a network that delays, duplicates, drops
 // and reorders messages.
 type path struct {
-	rnd      *rand.Rand
+	rnd *rand.Rand
+	// unfenced ignores the fence's verdicts except Gap, to show that the check needs them.
 	unfenced bool
 	model    toy.Model
 	stages   []*stage
 	network  []message
+	// owner is the state of the answer at the entry that assembles it.
 	owner    answer.Assembly
 	prompt   []uint32
 	received []uint32
--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// checkLeaving checks that leaving endpoints get no new requests, for as long as they keep serving, from
-// gateways that were receiving updates when they got the request.
+// checkLeaving checks that an endpoint gets no new requests while it is leaving, for as long as it keeps
+// serving. It ignores requests sent to a gateway while that gateway may have missed updates.
 func (w *world) checkLeaving(c *callers) {
 	byID := make(map[string]exchange, len(c.all))
 	for _, s := range c.all {
--- a/test/soak/fleet_test.go
+++ b/test/soak/fleet_test.go
@@ -61,8 +61,8 @@
 	return fmt.Sprintf("127.%d.88.1:%d", 1+os.Getpid()%250, 22000+ports.Add(1))
 }
 
-// newNode starts a gateway in a hall. Its setting flat_fleet, the fleet size up to which gateways exchange
-// everything with every other one and read the store themselves, is flat.
+// newNode starts a gateway in a hall. flat is the value of its setting flat_fleet: the fleet size up to
+// which every gateway exchanges everything with every other one and reads the store itself.
 func newNode(t *testing.T, dir, name, hall, store string, flat int) *node {
 	link, err := newProxy(store)
 	require.NoError(t, err)
--- a/test/soak/proxy_test.go
+++ b/test/soak/proxy_test.go
@@ -116,8 +116,8 @@
 	<-done
 }
 
-// pump copies bytes one way and holds them back while the condition is silent or
-// equals blocked.
+// pump copies bytes one way and holds them back while the condition is silent, or equals blocked. With
+// blocked set to pass, only silent holds them back.
 func (p *proxy) pump(to, from net.Conn, blocked linkCondition) {
 	buffer := make([]byte, 16<<10)
 	for {
--- a/test/soak/site_test.go
+++ b/test/soak/site_test.go
@@ -143,9 +143,9 @@
 // lateRecord is the largest delay of a record that was written before the departure and arrives after it.
 const lateRecord = 4 * time.Second
 
-// release starts a replacement and then announces the departure of an endpoint, which goes on serving. With
-// announced, the endpoint itself reports its departure, and an older record of it arrives late, after that
-// report. Without, its record is withdrawn.
+// release starts a replacement and then takes an endpoint out of service, which goes on serving. If
+// announced is set, the endpoint reports its departure itself, and an older record of it arrives after a
+// delay of late. Otherwise its record is withdrawn.
 func (b *backends) release(e *site.Endpoint, announced bool, late time.Duration) {
 	b.add(e.Service, e.Hall)
 	time.Sleep(700 * time.Millisecond)
@@ -167,7 +167,7 @@
 	b.mu.Lock()
 	for key := range b.keys {
 		delete(b.keys, key)
-		b.revoked[key] = time.Now().Add(time.Second) // placeholder until configure has written it
+		b.revoked[key] = time.Now().Add(time.Second) // in the future, so that configure replaces it with the time of its write
 		break
 	}
 	b.keys[fmt.Sprintf("k%d", 100+b.version)] = true
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -39,11 +39,11 @@
 const (
 	gateways    = 3
 	callerCount = 12
-	// flatFleet and gatewaysByHall make the fleet of every odd seed behave like a large
-	// one: two gateways of a hall read the store for a third, and halls exchange sums.
-	flatFleet      = 2
-	gatewaysByHall = 4
-	otherHall      = "south"
+	// flatFleet and gatewaysInTwoHalls make the fleet of every odd seed behave like a large one: two
+	// gateways of a hall read the store and pass its changes on to the third, and halls exchange sums.
+	flatFleet          = 2
+	gatewaysInTwoHalls = 4
+	otherHall          = "south"
 )
 
 // startWait is how long the gateways and the model layers may take to become ready.
@@ -147,7 +147,7 @@
 	}
 	n, flat := gateways, 0
 	if seed%2 == 1 {
-		n, flat = gatewaysByHall, flatFleet
+		n, flat = gatewaysInTwoHalls, flatFleet
 	}
 	for i := range n {
 		hall := "north"
--- a/test/soak/words_test.go
+++ b/test/soak/words_test.go
@@ -10,7 +10,8 @@
 	"github.com/grademill/grademill/standin/site"
 )
 
-// reportDelay is how long a gateway may take to act on an endpoint's report after passing on the response with it.
+// reportDelay is how long a gateway may take to act on an endpoint's report, from when it has passed on
+// the response that carries the report.
 const reportDelay = 500 * time.Millisecond
 
 // overloadReport is a limit or backoff period that an endpoint asked for during a period.
@@ -114,8 +115,9 @@
 	return s.status == http.StatusOK && s.whole
 }
 
-// checkLimit checks that an endpoint got no more requests than its limit allows, from gateways that had
-// passed on a response with the limit and once the limit had to take effect.
+// checkLimit checks that an endpoint got no more requests than its limit allows. It counts only requests
+// that arrive more than site.LimitGrace after the report began, from gateways that passed on a response
+// of the endpoint more than reportDelay before.
 func (w *world) checkLimit(s overloadReport, byID map[string]exchange) {
 	reported := make(map[process]time.Time)
 	var counted []time.Time
@@ -133,8 +135,8 @@
 	w.t.Logf("%s asked for at most %.2f requests per second and got %d, at most %d of them within one period", s.endpoint.ID, s.signals.Limit, len(counted), most)
 }
 
-// checkBackoff checks that each gateway sent at most site.RetryAfterSlack requests within a backoff period that the endpoint asked
-// it for.
+// checkBackoff checks that each gateway sent at most site.RetryAfterSlack requests within a backoff
+// period that the endpoint asked it for.
 func (w *world) checkBackoff(s overloadReport, byID map[string]exchange) {
 	arrived := make(map[process][]time.Time)
 	for _, a := range arrivals(s.endpoint, s.from, s.until, byID) {
