--- a/adapter/probe/refusal.go
+++ b/adapter/probe/refusal.go
@@ -13,8 +13,7 @@
 const connectTimeout = 300 * time.Millisecond
 
 // ConnectionRefused reports whether the host at address refuses connections, which shows
-// that the process has ended. It also returns false if no answer comes, which shows
-// nothing.
+// that the process has ended. It returns false if no answer comes, which shows nothing.
 func ConnectionRefused(ctx context.Context, address string) bool {
 	dialer := net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
 	c, err := dialer.DialContext(ctx, "tcp", address)
--- a/standin/site/says.go
+++ b/standin/site/says.go
@@ -86,8 +86,9 @@
 	LeavingGrace    = 2 * time.Second
 )
 
-// MaxWithinBackoff returns the largest number of requests that arrived in one backoff period, not counting
-// those within RetryAfterGrace of its start. Each of times, in ascending order, begins a period of length rest.
+// MaxWithinBackoff returns the largest number of requests that arrived in one backoff period, not
+// counting those within RetryAfterGrace of its start. Each of times, in ascending order, begins a period
+// of length backoff.
 func MaxWithinBackoff(times []time.Time, backoff time.Duration) int {
 	most := 0
 	for i, asked := range times {
--- a/test/soak/site_test.go
+++ b/test/soak/site_test.go
@@ -143,9 +143,9 @@
 // lateRecord is the largest delay of a record that was written before the departure and arrives after it.
 const lateRecord = 4 * time.Second
 
-// release starts a replacement and then takes an endpoint out of service, which goes on serving. If
-// announced is set, the endpoint reports its departure itself, and an older record of it arrives after a
-// delay of late. Otherwise its record is withdrawn.
+// release starts a replacement and then makes an endpoint leave, which goes on serving. If announced is
+// set, the endpoint reports its departure itself, and an older record of it arrives after a delay of
+// late. Otherwise its record is withdrawn.
 func (b *backends) release(e *site.Endpoint, announced bool, late time.Duration) {
 	b.add(e.Service, e.Hall)
 	time.Sleep(700 * time.Millisecond)
