--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -175,7 +175,8 @@
 	return chain
 }
 
-// checkIdempotentCall sends the same call with the same idempotency key to two entries; the service runs it once.
+// checkIdempotentCall sends the same call with the same idempotency key to two entries; the service runs
+// it once.
 func (d *Demo) checkIdempotentCall(ctx context.Context, l *lab.Lab) error {
 	for i := range 2 {
 		reply, err := l.Entry(i).Call(ctx, router.Call{
--- a/standin/site/says.go
+++ b/standin/site/says.go
@@ -42,8 +42,8 @@
 	return e.limitSentAt
 }
 
-// setSignalHeaders sets the headers of an answer that carry the endpoint's report, and reports whether the endpoint
-// refuses the request.
+// setSignalHeaders sets the headers of an answer that carry the endpoint's report, and reports whether
+// the endpoint refuses the request.
 func (e *Endpoint) setSignalHeaders(h http.Header) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -77,9 +77,9 @@
 	return int(1.5*limit*LimitSpan.Seconds()) + 5
 }
 
-// An endpoint that has asked for a backoff period may get at most RetryAfterSlack requests between RetryAfterGrace
-// after it asked and the end of the period. An endpoint that has announced that it is leaving may get
-// requests for at most LeavingGrace after that.
+// An endpoint that has asked for a backoff period may get at most RetryAfterSlack requests between
+// RetryAfterGrace after it asked and the end of the period. An endpoint that has announced that it is
+// leaving may get requests for at most LeavingGrace after that.
 const (
 	RetryAfterGrace = 500 * time.Millisecond
 	RetryAfterSlack = 2
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -226,7 +226,8 @@
 	group.Wait()
 }
 
-// fault returns a random fault of the gateway, the store or an endpoint; faults that end by themselves last as long as given.
+// fault returns a random fault of the gateway, the store or an endpoint; faults that end by themselves
+// last as long as given.
 func (w *world) fault(n *node, lasts time.Duration) func() {
 	during := func(p *proxy, condition linkCondition) func() {
 		return func() {
--- a/test/soak/words_test.go
+++ b/test/soak/words_test.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// checkOverloadReports checks that gateways kept to the limits, backoff periods and departures that endpoints reported.
+// checkOverloadReports checks that gateways kept to the limits, backoff periods and departures that
+// endpoints reported.
 func (w *world) checkOverloadReports(c *callers) {
 	byID := make(map[string]exchange, len(c.all))
 	for _, s := range c.all {
