--- a/standin/site/signals.go
+++ b/standin/site/signals.go
@@ -42,8 +42,8 @@
 	return e.limitSentAt
 }
 
-// setSignalHeaders sets the headers of an answer that carry the endpoint's report, and reports whether the endpoint
-// refuses the request.
+// setSignalHeaders sets the headers of an answer that carry the endpoint's report, and reports whether
+// the endpoint refuses the request.
 func (e *Endpoint) setSignalHeaders(h http.Header) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -71,29 +71,30 @@
 	LimitGrace = 3 * time.Second
 )
 
-// Allowed returns the largest number of requests that an endpoint with a limit of so many requests a
-// second may get within LimitSpan: 1.5 times the limit, plus five.
+// Allowed returns the largest number of requests that an endpoint with a limit in requests per second
+// may get within LimitSpan: 1.5 times the number that the limit allows in that time, plus five.
 func Allowed(limit float64) int {
 	return int(1.5*limit*LimitSpan.Seconds()) + 5
 }
 
-// An endpoint that has asked for a backoff period may get at most RetryAfterSlack requests between RetryAfterGrace
-// after it asked and the end of the period. An endpoint that has announced that it is leaving may get
-// requests for at most LeavingGrace after that.
+// An endpoint that has asked for a backoff period may get at most RetryAfterSlack requests between
+// RetryAfterGrace after it asked and the end of the period. An endpoint that has announced that it is
+// leaving may get requests for at most LeavingGrace after that.
 const (
 	RetryAfterGrace = 500 * time.Millisecond
 	RetryAfterSlack = 2
 	LeavingGrace    = 2 * time.Second
 )
 
-// MaxWithinBackoff returns the largest number of requests that arrived in one backoff period, not counting
-// those within RetryAfterGrace of its start. Each of times, in ascending order, begins a period of length rest.
-func MaxWithinBackoff(times []time.Time, rest time.Duration) int {
+// MaxWithinBackoff returns the largest number of requests that arrived in one backoff period, not
+// counting those within RetryAfterGrace of its start. Each of times, in ascending order, begins a period
+// of length backoff.
+func MaxWithinBackoff(times []time.Time, backoff time.Duration) int {
 	most := 0
 	for i, asked := range times {
 		n := 0
 		for _, at := range times[i+1:] {
-			if d := at.Sub(asked); d > RetryAfterGrace && d < rest {
+			if d := at.Sub(asked); d > RetryAfterGrace && d < backoff {
 				n++
 			}
 		}
