--- a/port/kv/store.go
+++ b/port/kv/store.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Pair is a key with its value.
+// Pair is a key with its value. It is encoded as JSON under the names of its fields, which
+// therefore must not change.
 type Pair struct {
 	Key   string
 	Value []byte
@@ -20,12 +21,13 @@
 	Deleted bool
 }
 
-// Write is a conditional write of one key.
+// Write is a conditional write of one key. It is encoded as JSON under the names of its fields,
+// which therefore must not change.
 type Write struct {
 	Key   string
 	Value []byte
-	// IfRevision is the revision that the key must have; 0 means that it must not exist.
-	IfRevision uint64
+	// If is the revision that the key must have; 0 means that it must not exist.
+	If uint64
 	// Lease is the lease with which the key expires, empty for none.
 	Lease string
 }
--- a/role/announcer/announcer.go
+++ b/role/announcer/announcer.go
@@ -126,7 +126,7 @@
 		a.Log.Error().Err(err).Msg("announcement not encoded")
 		return
 	}
-	revision, err := a.Store.Put(ctx, kv.Write{Key: a.key(), Value: value, IfRevision: own.Revision})
+	revision, err := a.Store.Put(ctx, kv.Write{Key: a.key(), Value: value, If: own.Revision})
 	if err != nil {
 		a.Log.Info().Err(err).Uint64("former_revision", own.Revision).Msg("this gateway is not announced")
 		return
--- a/role/announcer/announcer_test.go
+++ b/role/announcer/announcer_test.go
@@ -43,7 +43,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls["write"]++
-	if w.IfRevision != s.pairs[w.Key].Revision {
+	if w.If != s.pairs[w.Key].Revision {
 		return 0, &kv.ConflictError{Key: w.Key}
 	}
 	s.revision++
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -185,7 +185,7 @@
 	if len(w.Value) > MaxValue {
 		return 0, trace.LimitExceeded("value of %d bytes", len(w.Value))
 	}
-	if now := s.pairs[w.Key].Revision; now != w.IfRevision {
+	if now := s.pairs[w.Key].Revision; now != w.If {
 		return 0, trace.Wrap(&kv.ConflictError{Key: w.Key, Revision: now})
 	}
 	if w.Lease != "" {
--- a/state/headlog/log.go
+++ b/state/headlog/log.go
@@ -256,7 +256,7 @@
 	if err != nil {
 		return Head{}, trace.Wrap(err)
 	}
-	next.stored, err = l.Store.Put(ctx, kv.Write{Key: l.Key, Value: value, IfRevision: h.stored})
+	next.stored, err = l.Store.Put(ctx, kv.Write{Key: l.Key, Value: value, If: h.stored})
 	var unavailable *kv.UnavailableError
 	if errors.As(err, &unavailable) {
 		*sent = pending{proposals[0].ID, h.Revision() + 1}
--- a/test/histories/config_test.go
+++ b/test/histories/config_test.go
@@ -82,7 +82,7 @@
 	}
 	if f.unconditional {
 		if pair, err := f.Store.Get(ctx, w.Key); err == nil {
-			w.IfRevision = pair.Revision
+			w.If = pair.Revision
 		}
 	}
 	// A write in flight takes effect whether or not its sender still waits.
