--- a/decide/fleet/endpoint.go
+++ b/decide/fleet/endpoint.go
@@ -9,7 +9,8 @@
 )
 
 // Endpoint describes one back end and the agent beside it. It is an immutable value:
-// WithLeaving returns a changed copy.
+// WithLeaving returns a changed copy. It is encoded as JSON in the status of the admin API under
+// the names of its fields, which therefore must not change.
 type Endpoint struct {
 	// Name identifies the endpoint in the fleet; never empty in a route.Table.
 	Name string
@@ -38,8 +39,8 @@
 	Limit int
 	// Batch is the number of steps that the endpoint runs together; zero while unknown.
 	Batch int
-	// LastHeartbeat is the time of the agent's last heartbeat.
-	LastHeartbeat time.Time
+	// Seen is the time of the agent's last heartbeat.
+	Seen time.Time
 }
 
 // WithLeaving returns e with Leaving set to leaving.
--- a/decide/view/view.go
+++ b/decide/view/view.go
@@ -88,7 +88,7 @@
 	}
 	changed = k.suspect
 	k.suspect = false
-	k.endpoint.LastHeartbeat = now
+	k.endpoint.Seen = now
 	k.usage.Epoch.Store(epoch)
 	k.usage.Report(r)
 	return k.endpoint, changed, true
@@ -138,7 +138,7 @@
 func (v *View) Expire(now time.Time) []string {
 	var names []string
 	for name, k := range v.state {
-		if now.Sub(k.endpoint.LastHeartbeat) > v.Expiry {
+		if now.Sub(k.endpoint.Seen) > v.Expiry {
 			delete(v.state, name)
 			delete(v.byIncarnation, k.endpoint.Incarnation)
 			names = append(names, name)
--- a/role/entry/fleet.go
+++ b/role/entry/fleet.go
@@ -25,7 +25,7 @@
 			Name: self.GetEndpoint(), Address: self.GetAddress(), Hall: self.GetHall(),
 			Incarnation: beat.GetIncarnation(), Service: self.GetService(),
 			Layers:  layer.Range{First: int(self.GetFirst()), End: int(self.GetEnd())},
-			Leaving: self.GetLeaving(), LastHeartbeat: now,
+			Leaving: self.GetLeaving(), Seen: now,
 		})
 	}
 	endpoint, woke, ok := e.view.RecordHeartbeat(now, beat.GetIncarnation(), beat.GetEpoch(), reportOf(beat.GetLoad()))
