--- a/deploy/play-days.sh
+++ b/deploy/play-days.sh
@@ -1,9 +1,11 @@
 #!/usr/bin/env bash
-# Plays the days of deploy/days on a site and prints a line for each.
+# Runs the days in deploy/days at a site and prints one line for each.
 #   deploy/play-days.sh BENCH SITE WHY [JOBS] [DAY...]
-# BENCH is the users' bench, SITE one of their site files. Run it at the root of the
-# repository. A day whose rules were broken, or that was not played, says so, and the
-# script then ends with 1.
+# BENCH is the users' executable that runs a day, SITE one of their site files, WHY the
+# reason that is passed to BENCH with the name of the day, JOBS the number of days run at
+# once (default 4). Without DAY, all days are run. Run it at the root of the repository. A
+# day in which a rule was broken, or that was not run, is marked in its line, and the script
+# then exits with status 1.
 set -euo pipefail
 bench=$1 site=$2 why=$3 jobs=${4:-4}
 shift $(($# < 4 ? $# : 4))
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,5 +1,6 @@
-// Package wire holds the messages between the processes of the router and
-// towards engines. It is generated from wire.proto; see CONTRIBUTING.md.
+// Package wire defines the messages that the processes of the router exchange
+// with each other and with engines. It is generated from wire.proto; see
+// CONTRIBUTING.md.
 package wire
 
 //go:generate go tool -modfile=../tools/go.mod buf generate ..
