--- a/decide/isolation/plan.go
+++ b/decide/isolation/plan.go
@@ -14,7 +14,7 @@
 const reservedDivisor = 3
 
 // Plan assigns endpoints to suspects. Gateways that know the same suspects and endpoints compute
-// the same plan. The zero Plan has no suspects.
+// the same plan. The zero Plan assigns no endpoint.
 type Plan struct {
 	// assigned maps each suspect that has an endpoint to it. No two suspects share one.
 	assigned map[fingerprint.Fingerprint]string
@@ -48,7 +48,7 @@
 	return endpoint, ok
 }
 
-// Empty reports whether the plan has no suspects.
+// Empty reports whether no suspect has an endpoint.
 func (p Plan) Empty() bool {
 	return len(p.assigned) == 0
 }
--- a/decide/overlay/overlay.go
+++ b/decide/overlay/overlay.go
@@ -117,9 +117,9 @@
 // removed.
 const relaysPerHall = 3
 
-// Relay returns the gateway of another hall that passes this hall's sums on there in the given
-// round. The relays differ from one sending hall to the next, so that none does all the work.
-// The hall must have a gateway.
+// Relay returns the gateway of another hall to which this hall's sums are sent in the given round;
+// it passes them on to the gateways of its hall. The relays differ from one sending hall to the
+// next, so that none does all the work. The hall must have a gateway.
 func (o Overlay) Relay(hall string, round int) Member {
 	list := ranking(o.Self.Hall, o.PeersIn(hall))
 	return list[round%min(relaysPerHall, len(list))]
--- a/decide/placement/coverage.go
+++ b/decide/placement/coverage.go
@@ -28,8 +28,7 @@
 	// supply is the number of tokens for which the holders of each layer have room. A card that
 	// holds fewer layers than planned counts as filled to the planned share.
 	supply []float64
-	// fastest is the lowest catalog.Card TokenTimeFactor among the holders of each layer, 0
-	// without holders.
+	// fastest is the TokenTimeFactor of the fastest holder of each layer, 0 without holders.
 	fastest []float64
 	// soleHolderLen is the length of the range of a layer's only holder, 0 unless there is
 	// exactly one.
@@ -113,11 +112,11 @@
 	return layer.Range{First: at, End: at + targetLayers}
 }
 
-// value returns the benefit of another card that holds a range. It is the sum of two fractions:
-// that of the group's cards whose loss would no longer uncover layers, weighted by the scarcity of
-// their capacity, and that of the time per token that a faster card saves. The slots of the first
-// layer's holders count as one more layer: without this, three halls of 59 cards got three first
-// endpoints and served 83 instead of all 272 requests per second in time.
+// value returns the benefit of one more card that holds a range. It adds two fractions: the share
+// of the group's cards whose loss would no longer uncover layers, weighted by how scarce their
+// capacity is, and the share of the time per token that the card saves if it is faster. The slots
+// of the first layer's holders count as one more layer: without this, three halls of 59 cards got
+// three first endpoints and served 83 instead of all 272 requests per second in time.
 func (cov *coverage) value(c Card, r layer.Range) float64 {
 	pace := cov.model.Cards[c.Kind].TokenTimeFactor
 	supply, time := 0.0, 0.0
--- a/decide/throttle/throttle.go
+++ b/decide/throttle/throttle.go
@@ -196,7 +196,8 @@
 // Share returns this gateway's share of the limit in requests per second, 0 until it is computed.
 func (t Throttle) Share() float64 { return t.share }
 
-// RetryAfter returns the end of the backoff period, zero if the endpoint asked for none.
+// RetryAfter returns the time at which the backoff period ends for this gateway, with the jitter
+// added; zero if there is none.
 func (t Throttle) RetryAfter() time.Time { return t.backoffUntil }
 
 // Demand returns the rate of requests that would start at the endpoint at now, 0 while it states no
--- a/role/admission/queue.go
+++ b/role/admission/queue.go
@@ -58,8 +58,9 @@
 	once sync.Once
 	gate gate.Gate[G]
 	wake chan struct{}
-	// firstTimeouts holds, per service, the timeouts that callers usually set on a first attempt.
-	firstTimeouts byname.Map[callertimeout.Estimate]
+	// firstShares holds, per service, the timeouts that callers usually set on a first attempt, as
+	// shares of the route's timeout.
+	firstShares byname.Map[callertimeout.Estimate]
 	// refusedAt is when a request was last refused, in nanoseconds of Unix time.
 	refusedAt atomic.Int64
 	// retryRates holds the rate of retried requests per service.
@@ -79,15 +80,16 @@
 	return &l.gate
 }
 
-// Arrive records a new request and reports whether it is a retry of a refused one.
+// Arrive records a new request and reports whether it is probably a retry of a refused one: its
+// caller has set a shorter timeout than callers usually set on a first attempt.
 func (l *Queue[G]) Arrive(r Request) bool {
 	share := r.share()
-	returned := l.firstTimeouts.Get(r.Service).IsReturning(share)
+	returned := l.firstShares.Get(r.Service).IsReturning(share)
 	if returned {
 		l.retryRates.Update(r.Service, func(m rate.Meter) rate.Meter { return m.WithCount(r.Start, 1) })
 	}
 	if r.Start.UnixNano()-l.refusedAt.Load() >= int64(noRefusalPeriod) {
-		l.firstTimeouts.Update(r.Service, func(p callertimeout.Estimate) callertimeout.Estimate { return p.WithShare(share) })
+		l.firstShares.Update(r.Service, func(p callertimeout.Estimate) callertimeout.Estimate { return p.WithShare(share) })
 	}
 	return returned
 }
@@ -122,14 +124,15 @@
 	return Terms{Urgency: urgency.New, Until: r.Start.Add(r.Objective - firstEvent)}
 }
 
-// Enter waits until try returns a grant. It refuses the request at once if the expected wait
-// exceeds the time limit of turn, or if try answers [gate.Never].
-func (l *Queue[G]) Enter(ctx context.Context, r Request, turn Terms, try func() (G, gate.Answer)) (G, *outcome.Report) {
-	ctx, cancel := context.WithDeadline(ctx, turn.Until)
+// Enter waits until try returns a grant, and returns it with a nil report. Otherwise the report
+// says why there is none: the queue is full, the expected wait exceeds the time limit of terms, that
+// limit or ctx has ended, or try has answered [gate.Never].
+func (l *Queue[G]) Enter(ctx context.Context, r Request, terms Terms, try func() (G, gate.Answer)) (G, *outcome.Report) {
+	ctx, cancel := context.WithDeadline(ctx, terms.Until)
 	defer cancel()
 	return l.ready().Enter(ctx, gate.Ticket[G]{
 		Lane: r.Service, Team: r.Team, Cost: 1,
-		Priority: r.Priority*int(urgency.Levels) + int(turn.Urgency),
+		Priority: r.Priority*int(urgency.Levels) + int(terms.Urgency),
 		Try: func() (G, gate.Answer) {
 			grant, answer := try()
 			if answer == gate.Full {
--- a/role/admission/request.go
+++ b/role/admission/request.go
@@ -5,7 +5,8 @@
 // Request describes a request to the queue.
 type Request struct {
 	Service, Team string
-	// Priority starts at 0, the least urgent.
+	// Priority is higher for more urgent requests, 0 for the least urgent ones. The priority of a
+	// route or team counts the other way.
 	Priority int
 	// RouteTimeout is the timeout of the route. CallerTimeout is the timeout that the caller has
 	// set, 0 for none.
--- a/role/gateway/chooser.go
+++ b/role/gateway/chooser.go
@@ -21,9 +21,9 @@
 	holders []chain.Holder
 	// noise is the random cost factor of each hall for this request.
 	noise []float64
-	// fleetFactor is the ratio of the requests of all gateways that are moved or sent again for the
-	// same reason to those of this gateway: 1 for a single request, more for one that leaves a lost
-	// endpoint.
+	// fleetFactor is how many requests of the whole fleet are moved or sent again for the same
+	// reason, for each one of this gateway: see usage.fleetFactor. It is 1 unless an endpoint was
+	// lost.
 	fleetFactor float64
 	// unreported is the share of the other gateways' requests at an endpoint that may have arrived
 	// since their last report.
--- a/role/gateway/digest.go
+++ b/role/gateway/digest.go
@@ -203,7 +203,7 @@
 	}
 }
 
-// leaderHeard reports whether the gateway that gives orders has reported so recently.
+// leaderHeard reports whether a digest has recently said that some gateway gives orders.
 func (g *Gateway) leaderHeard(now time.Time) bool {
 	return now.UnixNano()-g.leaderHeardAt.Load() < int64(reportFresh)
 }
--- a/role/gateway/gateway.go
+++ b/role/gateway/gateway.go
@@ -39,7 +39,7 @@
 
 // Decoders decodes the entries that other components write to the store.
 type Decoders struct {
-	// Catalog is the key of the configuration.
+	// Catalog is the key under which the store holds the catalog, the configuration of gateways.
 	Catalog string
 	// DecodeCatalog decodes the configuration.
 	DecodeCatalog func([]byte) (*catalog.Catalog, error)
@@ -94,7 +94,8 @@
 	// Clock reads the clock that measures the age of freshness proofs: it continues while the host
 	// is suspended. Nil means the clock of the host.
 	Clock func() time.Time
-	// AwaitAnswer returns why a question to an endpoint is given up, see probe.Prober.
+	// AwaitAnswer waits for the answer of an endpoint to a check. It returns nil once answered is
+	// closed, or else the reason to give up. Nil means the default of package probe.
 	AwaitAnswer func(answered <-chan struct{}) error
 	// Meter counts the gateway's operations.
 	Meter Meter
@@ -105,8 +106,8 @@
 	// showed that it is the newest, in nanoseconds by Clock.
 	proof   atomic.Int64
 	started time.Time
-	// read is set once the store has been read in any state, loaded once it has been read as of a
-	// known time.
+	// read is set once the whole store has been read, even in a state that may be outdated; loaded
+	// once everything written to it up to a known time has been read.
 	read     atomic.Bool
 	loaded   atomic.Bool
 	draining atomic.Bool
@@ -249,8 +250,8 @@
 	return g.running.Count()
 }
 
-// Close refuses further requests if none is in flight, and reports whether it does. With force it
-// refuses them in any case.
+// Close makes the gateway refuse all further requests, unless one is in flight and force is not
+// set. It reports whether the gateway refuses them now.
 func (g *Gateway) Close(force bool) bool {
 	return g.running.Close(force)
 }
--- a/role/gateway/handler.go
+++ b/role/gateway/handler.go
@@ -23,9 +23,10 @@
 	// one where the gateway waits for the store.
 	retryAfterOverload = 250 * time.Millisecond
 	retryAfterStore    = 600 * time.Millisecond
-	// defaultPriority is the priority of a request without one.
+	// defaultPriority is not used: a request has the priority of its team, or else of its route.
 	defaultPriority = 5
-	maxPriority     = 9
+	// maxPriority is the least urgent priority of a request; 0 is the most urgent one.
+	maxPriority = 9
 )
 
 // Outcomes of requests, as the logs and metrics name them.
--- a/role/gateway/isolation.go
+++ b/role/gateway/isolation.go
@@ -16,7 +16,8 @@
 	// is also the interval between two checks whether an endpoint is free.
 	isolationWait = 200 * time.Millisecond
 	// isolationTimeout bounds the wait for an endpoint. It is longer than the three seconds for
-	// which a report by another gateway that a suspect has run to its end counts.
+	// which a reported number of ends under a request counts: a request that is a suspect only by
+	// an outdated report is sent on once that has expired.
 	isolationTimeout = 4 * time.Second
 )
 
--- a/role/gateway/plain.go
+++ b/role/gateway/plain.go
@@ -13,8 +13,9 @@
 
 // Timing and weights of plain services.
 const (
-	// defaultAnswerWait is how long a repeatable request waits for an endpoint before it goes to
-	// another where the route has no objective; otherwise it waits for the objective.
+	// defaultAnswerWait is how long a repeatable request waits for the answer of one endpoint
+	// before it is sent to another, on a route without an objective. On other routes it waits as
+	// long as the objective.
 	defaultAnswerWait = 400 * time.Millisecond
 	// maxSends bounds how often one request is sent. A stream whose caller already has events may
 	// exceed it after refusals.
--- a/role/gateway/quarantine.go
+++ b/role/gateway/quarantine.go
@@ -54,8 +54,9 @@
 	}
 }
 
-// incarnationOver reports whether an incarnation has certainly ended: its record is gone or names
-// another incarnation, or the endpoint does not answer. Otherwise the endpoint is checked.
+// incarnationOver reports whether an incarnation counts as ended: its record is gone or names
+// another incarnation, or its endpoint is presumed dead or known to have ended. Otherwise the
+// endpoint is checked.
 func (g *Gateway) incarnationOver(l suspects.Incarnation) bool {
 	b := g.fleet.Load().byID[l.Endpoint]
 	if b == nil || b.Born != 0 && l.Born != 0 && b.Born != l.Born || b.use.presumedDead(time.Now()) || b.use.ended.Load() {
--- a/role/gateway/query.go
+++ b/role/gateway/query.go
@@ -97,12 +97,14 @@
 	// isolation is the endpoint at which a suspect is tried, isolated from other suspects; empty
 	// for a request that is no suspect.
 	isolation string
-	// fleetFactor is the ratio of the requests of all gateways that are sent again because their
-	// endpoint is lost to those of this gateway; 0 if only this request is sent again.
+	// fleetFactor is how many requests of the whole fleet are sent again, because their endpoint is
+	// lost, for each one of this gateway: see usage.fleetFactor. It is 0 if only this request is
+	// sent again.
 	fleetFactor float64
 }
 
-// setFleetFactor sets the ratio that the field fleetFactor describes.
+// setFleetFactor records how many requests of the whole fleet are sent again for each one of this
+// gateway.
 func (q *query) setFleetFactor(n float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/role/gateway/reservation.go
+++ b/role/gateway/reservation.go
@@ -236,8 +236,8 @@
 }
 
 // promptReadTime returns the expected time until the endpoints that were not part of the old
-// reservation have read the prompt. fleetFactor is the ratio of the requests of all gateways that
-// are moved at the same time to those of this gateway.
+// reservation have read the prompt. fleetFactor is how many requests of the whole fleet are moved at
+// the same time for each one of this gateway: see usage.fleetFactor.
 func (s *reservation) promptReadTime(q *query, old *reservation, fleetFactor float64) time.Duration {
 	m := q.service.Model
 	parts := make([]failover.Reader, 0, len(s.parts))
--- a/role/gateway/stream.go
+++ b/role/gateway/stream.go
@@ -235,9 +235,9 @@
 		Str("reason", notRunReason(t)).Msg("chain refused the request")
 }
 
-// noteLoss sets the fleetFactor of the request after the loss of an attempt: that of the first
-// endpoint if it is presumed dead, since all gateways then send their requests there again, and 0
-// otherwise.
+// noteLoss records, after the loss of an attempt, how many requests of the whole fleet are sent
+// again for each one of this gateway: the ratio at the first endpoint if that is presumed dead, since
+// all gateways then send the requests that ran there again, and 0 if only this request is.
 func (s *relay) noteLoss(first *backend) {
 	fleetFactor := 0.0
 	if first.use.presumedDead(time.Now()) {
--- a/role/gateway/watchdog.go
+++ b/role/gateway/watchdog.go
@@ -215,16 +215,16 @@
 	w.reservation.release()
 }
 
-// switchIfFaster abandons the attempt for one along another chain if, after a move to the
-// reservation moved, the next event would be late, and it is expected much sooner on the other
-// chain. It reports whether it did. When an endpoint is lost, the few endpoints of its hall that
-// hold the same layers have to read the prompts of all its streams again.
-func (w *watchdog) switchIfFaster(old, moved *reservation, lost *backend) bool {
+// switchIfFaster is called before a request is moved to the chain of the reservation target. If the
+// next event would be late there and is expected much sooner on another chain, it abandons the
+// attempt for one along that chain. It reports whether it did. When an endpoint is lost, the few
+// endpoints of its hall that hold the same layers have to read the prompts of all its streams again.
+func (w *watchdog) switchIfFaster(old, target *reservation, lost *backend) bool {
 	if w.final || w.relay.g.suspected(w.relay.q) {
 		return false
 	}
 	q := w.relay.q
-	wait, slack := moved.promptReadTime(q, old, lost.use.fleetFactor()), w.slack(time.Now())
+	wait, slack := target.promptReadTime(q, old, lost.use.fleetFactor()), w.slack(time.Now())
 	if !failover.ShouldRestart(wait, 0, slack) {
 		return false
 	}
--- a/role/quarantine/quarantine.go
+++ b/role/quarantine/quarantine.go
@@ -28,16 +28,17 @@
 	// its start.
 	minEnds = 3
 	// minEndsUnisolated is the number of ends required if the request was isolated in none of them.
-	// Harmless requests that arrive at many gateways together with a crashing one may each count one
-	// more end until all gateways know of their second.
+	// Harmless requests that arrive at many gateways together with a crashing one are isolated only
+	// once all gateways know that two endpoints have ended under them. Until then, one more end may
+	// be counted for each of them.
 	minEndsUnisolated = 6
 	// reportFrom is the number of ends from which a request is reported to all gateways, so that any
 	// gateway at which it completes can report the completion.
 	reportFrom = 2
 	// isolateFrom is the number of ends from which a request is isolated from other suspects.
 	isolateFrom = reportFrom
-	// quarantineTime is how long a request is quarantined, and how long an end counts: the longest lease
-	// that the store grants.
+	// quarantineTime is how long a request is quarantined, and also how long an end counts. The store
+	// holds a quarantine under a lease, and this is the longest lease that it grants.
 	quarantineTime = 10 * time.Minute
 	// confirmTime is how long ends that others report may take to be confirmed.
 	confirmTime = 3 * time.Second
@@ -69,8 +70,8 @@
 	// SendEnds sends a datagram to gateways, SendSoon causes a digest to be sent soon.
 	SendEnds func(e *wire.Ends, to ...overlay.Member)
 	SendSoon func()
-	// HasEnded reports whether an incarnation of an endpoint has certainly ended. If it may still be
-	// running, HasEnded has it checked.
+	// HasEnded reports whether an incarnation of an endpoint counts as ended: it has certainly ended,
+	// or its endpoint is presumed dead. Otherwise HasEnded has it checked.
 	HasEnded func(suspects.Incarnation) bool
 	// Store keeps the quarantined requests.
 	Store Store
@@ -243,8 +244,9 @@
 	return len(ends) >= minEndsUnisolated || isolated && len(ends) >= minEnds
 }
 
-// evaluate quarantines a request when enough incarnations have certainly ended under it. A report by a
-// gateway that is cut off proves nothing: to it all endpoints seem to have ended.
+// evaluate quarantines a request when enough of the incarnations that are reported to have ended under
+// it count as ended here too. A report by a gateway that is cut off proves nothing: to it all endpoints
+// seem to have ended.
 func (q *Quarantine) evaluate(f fingerprint.Fingerprint, ends []suspects.End, now time.Time) {
 	if !enough(ends) || q.known.QuarantineLeft(f, now) > 0 {
 		return
@@ -286,7 +288,7 @@
 	return list
 }
 
-// Reports returns the suspected and quarantined requests for a digest sent at now.
+// Reports returns the entries of a digest sent at now: the suspected and quarantined requests.
 func (q *Quarantine) Reports(now time.Time) []*wire.Suspect {
 	list := q.known.List(reportFrom, maxReported, now)
 	reports := make([]*wire.Suspect, 0, len(list))
--- a/role/quarantine/store.go
+++ b/role/quarantine/store.go
@@ -86,7 +86,8 @@
 	return err
 }
 
-// Put processes a pair of the store, and reports whether its key is that of a quarantined request.
+// Put handles a pair read from the store, and reports whether its key is that of a quarantined
+// request.
 func (q *Quarantine) Put(p kv.Pair, now time.Time) bool {
 	f, ok := parseKey(p.Key)
 	if !ok {
@@ -106,8 +107,8 @@
 	return true
 }
 
-// Removed processes the removal of a key, and reports whether it was that of a quarantined request. A
-// request whose lease expired too early is written again.
+// Removed handles the removal of a key from the store, and reports whether it was that of a quarantined
+// request. A request whose lease expired too early is written again.
 func (q *Quarantine) Removed(key string, now time.Time) bool {
 	f, ok := parseKey(key)
 	if !ok {
--- a/state/watchcache/cache.go
+++ b/state/watchcache/cache.go
@@ -49,8 +49,8 @@
 
 // Answer is the response to a Request.
 type Answer struct {
-	// Pairs are the changes after the revision, in order, and changes that a watch missed: see
-	// Feed.
+	// Pairs are the changes after the revision, in order, and those of any revision that a watch may
+	// have missed: see Feed.
 	Pairs []kv.Pair
 	// At is the revision of the store that the answer is valid for.
 	At uint64
@@ -58,8 +58,9 @@
 	Age time.Duration
 	// Sum is the checksum of the replica at the revision, 0 if unknown.
 	Sum uint64
-	// Waited is how long the request waited. Whatever the network delay, the time of the answer's
-	// proof is at most Age less Waited before the time at which the request was sent.
+	// Waited is how long the request waited before it was answered. The requester takes as the time
+	// of the proof the time at which it sent the request, plus Waited, minus Age: a network delay
+	// can only make the proof newer than that.
 	Waited time.Duration
 }
 
@@ -106,9 +107,9 @@
 	kv.Pair
 	// at is when this gateway learned the change.
 	at time.Time
-	// late marks a change that a watch may have missed: requesters may already know later
+	// missed marks a change that a watch may have missed: requesters may already know later
 	// revisions without it.
-	late bool
+	missed bool
 }
 
 // Reset replaces the content after a full read that was requested at time sent and is complete up
@@ -147,15 +148,15 @@
 	c.add(page, sent, true, true, sum)
 }
 
-// add records a page. found is set for changes that no watch delivered.
-func (c *Cache) add(page kv.Page, proven time.Time, direct, found bool, sum uint64) {
+// add records a page. missed is set for changes that no watch delivered.
+func (c *Cache) add(page kv.Page, proven time.Time, direct, missed bool, sum uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known, now := c.at, c.now()
 	c.at, c.sum, c.proven, c.direct = max(c.at, page.At), sum, proven, direct
 	c.supersede(page.Pairs)
 	for _, p := range page.Pairs {
-		c.changes = append(c.changes, change{p, now, found || p.Revision <= known})
+		c.changes = append(c.changes, change{p, now, missed || p.Revision <= known})
 		c.bytes += size(p)
 	}
 	drop := 0
@@ -259,7 +260,7 @@
 	}
 	a := Answer{At: c.at, Age: age, Waited: held, Sum: c.sum}
 	for _, one := range c.changes {
-		if one.late || one.Revision > q.After {
+		if one.missed || one.Revision > q.After {
 			a.Pairs = append(a.Pairs, one.Pair)
 		}
 	}
--- a/state/watchcache/feed.go
+++ b/state/watchcache/feed.go
@@ -116,8 +116,8 @@
 
 var _ kv.Feed = (*Feed)(nil)
 
-// Cut reports whether a call of this gateway to the store failed recently, so that other gateways
-// should query the store instead.
+// Cut reports whether the store is unreachable for this gateway: its latest call to the store failed
+// less than failureWindow ago. Other gateways should then query the store instead.
 func (f *Feed) Cut(now time.Time) bool {
 	return now.UnixNano()-f.failed.Load() < int64(failureWindow)
 }
@@ -290,10 +290,10 @@
 func (f *Feed) askStore(ctx context.Context, prefix string, revision uint64, wait time.Duration) (kv.Page, error) {
 	sent := f.Cache.now()
 	page, err := f.wait(ctx, prefix, revision, wait)
-	late := errors.Is(err, errOverdue)
-	if late || errors.Is(err, errRefreshed) {
+	overdue := errors.Is(err, errOverdue)
+	if overdue || errors.Is(err, errRefreshed) {
 		resent := f.Cache.now()
-		page, err = f.askAgain(ctx, prefix, revision, late)
+		page, err = f.askAgain(ctx, prefix, revision, overdue)
 		page.Lag = sent.Sub(resent) // negative: the proof is newer than the request that waited
 		sent = resent
 	}
@@ -317,11 +317,11 @@
 	return page, sum
 }
 
-// askAgain queries the store without a wait. If late is set, the previous request was overdue; if
+// askAgain queries the store without a wait. If overdue is set, the previous request was overdue; if
 // this one gets no answer within overdueRetryTimeout either, askAgain returns a CompactedError, so
 // that everything is read again.
-func (f *Feed) askAgain(ctx context.Context, prefix string, revision uint64, late bool) (kv.Page, error) {
-	if !late {
+func (f *Feed) askAgain(ctx context.Context, prefix string, revision uint64, overdue bool) (kv.Page, error) {
+	if !overdue {
 		return f.Store.Changes(ctx, prefix, revision, 0)
 	}
 	bounded, end := context.WithTimeout(ctx, overdueRetryTimeout)
--- a/state/watchcache/replica.go
+++ b/state/watchcache/replica.go
@@ -37,9 +37,10 @@
 	}
 }
 
-// apply applies changes. It returns the new ones as updates, and as later those that are new or
-// have a revision above after. While the replica is not loaded, both are all changes.
-func (r *replica) apply(pairs []kv.Pair, after uint64) (updates, later []kv.Pair) {
+// apply applies changes. It returns as updates those that are new to this replica, and as toRelay
+// these and all others with a revision above after, which requesters may lack. While the replica is
+// not loaded, both are all changes.
+func (r *replica) apply(pairs []kv.Pair, after uint64) (updates, toRelay []kv.Pair) {
 	if !r.loaded() {
 		return pairs, pairs
 	}
@@ -49,10 +50,10 @@
 			updates = append(updates, p)
 		}
 		if fresh || p.Revision > after {
-			later = append(later, p)
+			toRelay = append(toRelay, p)
 		}
 	}
-	return updates, later
+	return updates, toRelay
 }
 
 // applyPair applies a change and reports whether it is new.
