--- a/role/admission/queue.go
+++ b/role/admission/queue.go
@@ -81,7 +81,7 @@
 }
 
 // Arrive records a new request and reports whether it is probably a retry of a refused one: its
-// caller has set a shorter timeout than callers usually set on a first attempt.
+// caller's timeout is a smaller share of the route's than is usual on a first attempt.
 func (l *Queue[G]) Arrive(r Request) bool {
 	share := r.share()
 	returned := l.firstShares.Get(r.Service).IsReturning(share)
--- a/role/gateway/gateway.go
+++ b/role/gateway/gateway.go
@@ -251,7 +251,7 @@
 }
 
 // Close makes the gateway refuse all further requests, unless one is in flight and force is not
-// set. It reports whether the gateway refuses them now.
+// set. It reports whether it has done so.
 func (g *Gateway) Close(force bool) bool {
 	return g.running.Close(force)
 }
